--- a/quillcove_core/src/standing/cold.rs
+++ b/quillcove_core/src/standing/cold.rs
@@ -1,36 +1,38 @@
-//! A time in which an upstream is cold: it has just started, or starts again, and bears few requests a second from
-//! all processes together.
+//! The warm-up of an upstream: for a while after a start it accepts only a few requests a second
+//! from all processes together.
 
 use super::limit::RateLimit;
-use super::pace::LimitTerm;
+use super::pace::RequestPacer;
 use crate::ids::MonoTime;
 
-/// A time in which an upstream is cold, and this process's pace meanwhile.
+/// The warm-up of an upstream and the pace of this process during it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct ColdTerm {
+pub(super) struct WarmUp {
     until: MonoTime,
-    pace: LimitTerm,
+    pace: RequestPacer,
 }
 
-impl ColdTerm {
-    /// A term that becomes known now. Another process sends what the upstream bears until a share is set here.
+impl WarmUp {
+    /// Starts a warm-up that is known from `now` on. This process sends nothing until its share of
+    /// the rate is set; until then, other processes send what the upstream accepts.
     pub(super) fn new(rate: RateLimit, until: MonoTime, now: MonoTime) -> Self {
-        let mut pace = LimitTerm::new(Some(rate), now, now);
+        let mut pace = RequestPacer::new(Some(rate), now, now);
         pace.set_gap(None, now);
         Self { until, pace }
     }
 
-    /// The pace, unless the term is over.
-    pub(super) fn pace(&self, now: MonoTime) -> Option<&LimitTerm> {
+    /// Returns the pace, or `None` after the warm-up has ended.
+    pub(super) fn pace(&self, now: MonoTime) -> Option<&RequestPacer> {
         (now < self.until).then_some(&self.pace)
     }
 
-    /// The same, to be changed.
-    pub(super) fn pace_mut(&mut self, now: MonoTime) -> Option<&mut LimitTerm> {
+    /// Returns the pace for changes, or `None` after the warm-up has ended.
+    pub(super) fn pace_mut(&mut self, now: MonoTime) -> Option<&mut RequestPacer> {
         (now < self.until).then_some(&mut self.pace)
     }
 
-    /// Takes a later end; an earlier one says nothing of the word that is known.
+    /// Moves the end to `until` if that is later. An earlier end is ignored: it does not contradict
+    /// the later one already reported.
     pub(super) fn extend(&mut self, until: MonoTime) {
         self.until = self.until.max(until);
     }
--- a/quillcove_core/src/standing/limit.rs
+++ b/quillcove_core/src/standing/limit.rs
@@ -1,17 +1,18 @@
-//! The rate of requests that an upstream takes from all processes together.
+//! The rate at which an upstream accepts requests from all processes together.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Longest time between two requests. Only an upstream's answers tell that it has room again, so that one which
-/// takes nothing at all, or nearly so, is still asked now and then.
-const LONGEST_GAP: Duration = Duration::from_secs(10);
+/// Maximum time between two requests. Only an upstream's answers show that it has capacity again,
+/// so even one that accepts no requests, or almost none, is probed at this interval.
+const MAX_GAP: Duration = Duration::from_secs(10);
 
-/// Least time between two requests; more than a million a second are no limit.
-const SHORTEST_GAP: Duration = Duration::from_micros(1);
+/// Minimum time between two requests; rates above a million requests a second are not limited
+/// further.
+const MIN_GAP: Duration = Duration::from_micros(1);
 
-/// A rate of requests, kept as the time between two of them.
+/// A request rate, stored as the time between two requests.
 ///
 /// ```
 /// use std::time::Duration;
@@ -26,7 +27,7 @@
 }
 
 impl RateLimit {
-    /// So many requests a second; `None` when that is no rate.
+    /// Creates a limit from requests a second; `None` if `rate` is negative or not finite.
     ///
     /// ```
     /// use quillcove_core::standing::limit::RateLimit;
@@ -37,11 +38,11 @@
     /// ```
     pub fn per_second(rate: f64) -> Option<Self> {
         let is_rate = rate.is_finite() && rate >= 0.0;
-        let gap = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(LONGEST_GAP);
-        is_rate.then(|| Self { gap: gap.clamp(SHORTEST_GAP, LONGEST_GAP) })
+        let gap = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_GAP);
+        is_rate.then(|| Self { gap: gap.clamp(MIN_GAP, MAX_GAP) })
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests a second.
     ///
     /// ```
     /// use quillcove_core::standing::limit::RateLimit;
@@ -52,7 +53,7 @@
         1.0 / self.gap.as_secs_f64()
     }
 
-    /// The lower of two rates, where there is another one.
+    /// Returns the lower of two rates, or this one if `other` is `None`.
     ///
     /// ```
     /// use quillcove_core::standing::limit::RateLimit;
@@ -66,7 +67,7 @@
         Self { gap }
     }
 
-    /// Time between two requests.
+    /// Returns the time between two requests.
     ///
     /// ```
     /// use quillcove_core::standing::limit::RateLimit;
@@ -78,7 +79,7 @@
     }
 }
 
-/// Reads a rate from a header: requests a second, fractions included.
+/// Parses the rate in a header: requests a second, fractions allowed.
 ///
 /// ```
 /// use quillcove_core::standing::limit::{RateLimit, read_limit};
--- a/quillcove_core/src/standing/mod.rs
+++ b/quillcove_core/src/standing/mod.rs
@@ -1,10 +1,12 @@
-//! Whether an upstream takes new work, by what it says of itself.
+//! What an upstream has reported about itself, and whether it accepts new requests accordingly.
 //!
-//! An upstream that leaves says so in its answers, often long before any list does, one that is overrun asks
-//! for rest, and one that has little room names the rate of requests that it takes from all processes together. The
-//! words belong to one start of the upstream. None is taken back by anything but a new start, the end of a rest, or an
-//! answer without a limit to a request that was sent after the last one which named it: no list, no report and no good
-//! answer to an earlier request says the contrary.
+//! An upstream that is draining says so in its answers, often long before the platform lists it as
+//! draining; one that is overloaded requests a pause; and one with little capacity announces the
+//! rate of requests that it accepts from all processes together. The reports apply to one start of
+//! the upstream. Each is withdrawn only by a new start, by the end of a pause or warm-up, or, for a
+//! rate limit, by an answer without a limit to a request sent after the latest answer that
+//! announced one. No listing, loader report or successful answer to an earlier request overrides
+//! them.
 
 mod cold;
 pub mod limit;
@@ -16,79 +18,82 @@
 
 use serde::Serialize;
 
-use self::cold::ColdTerm;
+use self::cold::WarmUp;
 use self::limit::RateLimit;
 use self::notice::UpstreamNotice;
-use self::pace::LimitTerm;
-use self::rest::RestTerm;
+use self::pace::RequestPacer;
+use self::rest::RequestedPause;
 use crate::ids::MonoTime;
 
-/// Part of the time until the soonest end of a rest over which refused callers are spread beyond it.
-const CALLER_SPREAD: f64 = 0.25;
+/// Fraction of the time until the earliest end of a pause by which the return of rejected callers
+/// is spread beyond that end.
+const RETRY_SPREAD: f64 = 0.25;
 
-/// When a caller is to come back that is refused as all upstreams rest for so long. Each draw has a moment of its own.
+/// Returns after how long a caller is to retry that was rejected because all upstreams are paused
+/// for `pause`. Each random `draw` gives a different time, so that callers do not return all at
+/// once.
 ///
 /// ```
 /// use std::time::Duration;
 /// use quillcove_core::standing::spread_return;
 ///
-/// let rest = Duration::from_secs(4);
-/// assert_eq!(spread_return(rest, 0), rest);
-/// assert_eq!(spread_return(rest, u64::MAX), Duration::from_secs(5));
+/// let pause = Duration::from_secs(4);
+/// assert_eq!(spread_return(pause, 0), pause);
+/// assert_eq!(spread_return(pause, u64::MAX), Duration::from_secs(5));
 /// ```
-pub fn spread_return(rest: Duration, draw: u64) -> Duration {
-    rest.mul_f64(1.0 + CALLER_SPREAD * share_of(draw))
+pub fn spread_return(pause: Duration, draw: u64) -> Duration {
+    pause.mul_f64(1.0 + RETRY_SPREAD * share_of(draw))
 }
 
-/// A draw as a share from 0 to 1.
+/// Maps a random number to the range from 0 to 1.
 pub(crate) fn share_of(draw: u64) -> f64 {
     draw as f64 / u64::MAX as f64
 }
 
-/// Who said that an upstream leaves.
+/// The source of the information that an upstream is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeavingSource {
-    /// Another process, which had an answer of it.
+    /// Another process, which received an answer of the upstream.
     Told,
-    /// The upstream, in its entry of the platform's listing.
+    /// The upstream, in its entry in the platform's listing.
     Listing,
     /// The upstream, in an answer to this process.
     Answer,
 }
 
-/// That an upstream leaves.
+/// The information that an upstream is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeavingWord {
-    /// Who said so; of several the strongest.
+pub struct DrainingReport {
+    /// The most reliable source so far.
     pub source: LeavingSource,
-    /// When this process first knew.
+    /// When this process first learned of it.
     pub since: MonoTime,
 }
 
-/// What one process knows of an upstream's limit.
+/// What one process knows of the rate limit announced by an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LimitKnowledge {
-    /// The limit; `None` when the last answer named none.
+    /// The limit; `None` if the latest answer named none.
     pub limit: Option<RateLimit>,
-    /// Age of the answer that says so.
+    /// Age of that answer.
     pub age: Duration,
-    /// For how long this process has kept to a limit, or known of none.
+    /// How long this process has observed a limit, or has known of none.
     pub known_for: Duration,
 }
 
-/// What became known by a notice.
+/// What changed with a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StandingChange {
-    /// The upstream leaves.
+    /// The upstream is draining.
     Leaves,
-    /// It rests until then, and did not before.
+    /// It requested a pause until this time, and was not paused before.
     Rests(MonoTime),
-    /// It names a limit, or another one than before.
+    /// It announced a rate limit, or changed it.
     Limits(RateLimit),
 }
 
-/// What one start of an upstream has said of itself.
+/// What one start of an upstream has reported about itself.
 ///
 /// ```
 /// use std::time::Duration;
@@ -104,15 +109,15 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamStanding {
-    leaving: Option<LeavingWord>,
-    rest: Option<RestTerm>,
-    limit: Option<LimitTerm>,
-    cold: Option<ColdTerm>,
+    leaving: Option<DrainingReport>,
+    pause: Option<RequestedPause>,
+    limit: Option<RequestPacer>,
+    warm_up: Option<WarmUp>,
 }
 
 impl UpstreamStanding {
-    /// Takes what the upstream said with an answer. `spread` is added to a rest, so that the processes of
-    /// which it was asked at one moment do not return at one moment.
+    /// Records what the upstream reported in an answer. `spread` is added to a pause, so that
+    /// processes asked for one at the same time do not return at the same time.
     ///
     /// ```
     /// use std::time::Duration;
@@ -129,28 +134,29 @@
         spread: Duration,
         now: MonoTime,
     ) -> Option<StandingChange> {
-        let rests = notice.rest.and_then(|rest| self.rest_until(now + rest + spread, now));
-        let leaves = notice.is_leaving && self.note_leaving(LeavingSource::Answer, now);
-        let limits = notice.limit.and_then(|limit| self.note_limit(limit, now));
-        match leaves {
+        let pause = notice.rest.and_then(|pause| self.start_pause(now + pause + spread, now));
+        let is_newly_draining = notice.is_leaving && self.note_leaving(LeavingSource::Answer, now);
+        let limit = notice.limit.and_then(|limit| self.record_limit(limit, now));
+        match is_newly_draining {
             true => Some(StandingChange::Leaves),
-            false => rests.or(limits),
+            false => pause.or(limit),
         }
     }
 
-    fn note_limit(&mut self, limit: RateLimit, now: MonoTime) -> Option<StandingChange> {
-        let is_news = match &mut self.limit {
-            Some(term) => term.name(limit, now),
+    fn record_limit(&mut self, limit: RateLimit, now: MonoTime) -> Option<StandingChange> {
+        let is_change = match &mut self.limit {
+            Some(pacer) => pacer.record_limit(limit, now),
             None => {
-                self.limit = Some(LimitTerm::new(Some(limit), now, now));
+                self.limit = Some(RequestPacer::new(Some(limit), now, now));
                 true
             },
         };
-        is_news.then_some(StandingChange::Limits(limit))
+        is_change.then_some(StandingChange::Limits(limit))
     }
 
-    /// Takes another process's word of a limit, or that there is none any more, by an answer of this age; tells
-    /// whether it is news. `spread` is added to the time of the return.
+    /// Records a limit, or the absence of one, that another process reports from an answer of this
+    /// age; returns whether it differs from the known one. `spread` is added to the time at which
+    /// requests return after a limit.
     ///
     /// ```
     /// use std::time::Duration;
@@ -170,23 +176,24 @@
         spread: Duration,
         now: MonoTime,
     ) -> bool {
-        let said_at = now.saturating_sub(age);
+        let answered_at = now.saturating_sub(age);
         match &mut self.limit {
-            Some(term) => {
-                let had_limit = term.limit().is_some();
-                let is_news = term.take_told(limit, said_at, now);
-                self.return_after_limit(is_news && had_limit && limit.is_none(), spread, now);
-                is_news
+            Some(pacer) => {
+                let had_limit = pacer.limit().is_some();
+                let is_change = pacer.record_reported_limit(limit, answered_at, now);
+                self.return_after_limit(is_change && had_limit && limit.is_none(), spread, now);
+                is_change
             },
             None if limit.is_none() => false,
             None => {
-                self.limit = Some(LimitTerm::new(limit, said_at, now));
+                self.limit = Some(RequestPacer::new(limit, answered_at, now));
                 true
             },
         }
     }
 
-    /// Takes a good answer that names no limit, to a request that was sent then; tells whether a limit ends by it.
+    /// Records a successful answer without a limit to a request sent at `sent`; returns whether
+    /// this ends a limit.
     ///
     /// ```
     /// use std::time::Duration;
@@ -203,29 +210,30 @@
     /// assert!(standing.note_no_limit(third, zero, third));
     /// ```
     pub fn note_no_limit(&mut self, sent: MonoTime, spread: Duration, now: MonoTime) -> bool {
-        let is_end = self.limit.as_mut().is_some_and(|term| term.note_none(sent, now));
+        let is_end = self.limit.as_mut().is_some_and(|pacer| pacer.record_no_limit(sent, now));
         self.return_after_limit(is_end, spread, now);
         is_end
     }
 
-    /// An upstream that took few requests gets more of them in steps, as after a rest.
+    /// Increases the requests gradually after a limit, as after a pause.
     fn return_after_limit(&mut self, is_end: bool, spread: Duration, now: MonoTime) {
         if is_end {
-            self.rest_until(now + spread, now);
+            self.start_pause(now + spread, now);
         }
     }
 
-    /// The limit that it names.
+    /// Returns the rate limit that it announces.
     ///
     /// ```
     /// assert!(quillcove_core::standing::UpstreamStanding::default().limit().is_none());
     /// ```
     pub fn limit(&self) -> Option<RateLimit> {
-        self.limit.and_then(|term| term.limit())
+        self.limit.and_then(|pacer| pacer.limit())
     }
 
-    /// Notes that it is cold until then and bears so many requests a second from all processes together; tells whether
-    /// that was not known. This process sends none until it has a share: [`UpstreamStanding::set_cold_gap`].
+    /// Records that it warms up until `until` and accepts this rate of requests from all processes
+    /// together; returns whether that was unknown. This process sends none until its share is set
+    /// with [`UpstreamStanding::set_cold_gap`].
     ///
     /// ```
     /// use std::time::Duration;
@@ -237,22 +245,22 @@
     /// let mut standing = UpstreamStanding::default();
     /// assert!(standing.note_cold(rate, second, Duration::ZERO));
     /// assert!(!standing.takes_work(Duration::ZERO));
-    /// assert!(standing.takes_work(second), "it is warm");
+    /// assert!(standing.takes_work(second), "the warm-up is over");
     /// ```
     pub fn note_cold(&mut self, rate: RateLimit, until: MonoTime, now: MonoTime) -> bool {
-        match &mut self.cold {
-            Some(term) if term.pace(now).is_some() => {
-                term.extend(until);
+        match &mut self.warm_up {
+            Some(warm_up) if warm_up.pace(now).is_some() => {
+                warm_up.extend(until);
                 false
             },
             _ => {
-                self.cold = (now < until).then(|| ColdTerm::new(rate, until, now));
-                self.cold.is_some()
+                self.warm_up = (now < until).then(|| WarmUp::new(rate, until, now));
+                self.warm_up.is_some()
             },
         }
     }
 
-    /// Requests that it bears from all processes together, while it is cold.
+    /// Returns the rate that it accepts from all processes together while it warms up.
     ///
     /// ```
     /// use std::time::Duration;
@@ -261,42 +269,43 @@
     /// assert!(standing.cold_rate(Duration::ZERO).is_none());
     /// ```
     pub fn cold_rate(&self, now: MonoTime) -> Option<RateLimit> {
-        self.cold.as_ref()?.pace(now)?.limit()
+        self.warm_up.as_ref()?.pace(now)?.limit()
     }
 
-    /// Sets the time between two requests of this process while it is cold; `None` when others send them.
+    /// Sets the time between two requests of this process during the warm-up; `None` if only other
+    /// processes send them.
     ///
     /// ```
     /// use std::time::Duration;
     ///
     /// let mut standing = quillcove_core::standing::UpstreamStanding::default();
     /// standing.set_cold_gap(None, Duration::ZERO);
-    /// assert!(standing.takes_work(Duration::ZERO), "it is not cold");
+    /// assert!(standing.takes_work(Duration::ZERO), "it is not warming up");
     /// ```
     pub fn set_cold_gap(&mut self, gap: Option<Duration>, now: MonoTime) {
-        if let Some(pace) = self.cold.as_mut().and_then(|term| term.pace_mut(now)) {
-            pace.set_gap(gap, now);
+        if let Some(pacer) = self.warm_up.as_mut().and_then(|warm_up| warm_up.pace_mut(now)) {
+            pacer.set_gap(gap, now);
         }
     }
 
-    /// The paces that hold now: under its limit, and while it is cold.
-    fn paces(&self, now: MonoTime) -> impl Iterator<Item = &LimitTerm> {
-        let cold = self.cold.as_ref().and_then(|term| term.pace(now));
-        self.limit.iter().chain(cold)
+    /// Returns the pacers in force: the one of the rate limit and the one of the warm-up.
+    fn pacers(&self, now: MonoTime) -> impl Iterator<Item = &RequestPacer> {
+        let warm_up = self.warm_up.as_ref().and_then(|warm_up| warm_up.pace(now));
+        self.limit.iter().chain(warm_up)
     }
 
-    /// What is known of its limit, to be told to other processes: the limit, the age of the answer that says so, and for
-    /// how long that has been known.
+    /// Returns what is known of its limit, for reports to other processes.
     pub(crate) fn limit_word(&self, now: MonoTime) -> Option<LimitKnowledge> {
-        let known = |term: LimitTerm| LimitKnowledge {
-            limit: term.limit(),
-            age: now.saturating_sub(term.said_at()),
-            known_for: now.saturating_sub(term.since()),
+        let knowledge = |pacer: RequestPacer| LimitKnowledge {
+            limit: pacer.limit(),
+            age: now.saturating_sub(pacer.answered_at()),
+            known_for: now.saturating_sub(pacer.since()),
         };
-        self.limit.map(known)
+        self.limit.map(knowledge)
     }
 
-    /// Sets the time between two requests of this process under the limit; `None` when others send them.
+    /// Sets the time between two requests of this process under the limit; `None` if only other
+    /// processes send them.
     ///
     /// ```
     /// use std::time::Duration;
@@ -306,12 +315,13 @@
     /// assert!(standing.takes_work(Duration::ZERO), "there is no limit");
     /// ```
     pub fn set_limit_gap(&mut self, gap: Option<Duration>, now: MonoTime) {
-        if let Some(term) = &mut self.limit {
-            term.set_gap(gap, now);
+        if let Some(pacer) = &mut self.limit {
+            pacer.set_gap(gap, now);
         }
     }
 
-    /// Tells whether a request may be written to it now, as far as rests and limits go, that had its turn then.
+    /// Tells whether pauses and limits allow a request whose send slot was at `begun` to be written
+    /// now.
     ///
     /// ```
     /// use std::time::Duration;
@@ -320,11 +330,12 @@
     /// assert!(standing.may_write(Duration::ZERO, Duration::ZERO));
     /// ```
     pub fn may_write(&self, begun: MonoTime, now: MonoTime) -> bool {
-        let is_in_turn = self.paces(now).all(|pace| pace.may_write(begun, now));
-        is_in_turn && self.rest_end(now).is_none()
+        let is_slot_valid = self.pacers(now).all(|pacer| pacer.may_write(begun, now));
+        is_slot_valid && self.rest_end(now).is_none()
     }
 
-    /// Notes that it leaves; tells whether this is the first time or the first by its own word.
+    /// Records that it is draining; returns whether that was unknown or the source is more reliable
+    /// than before.
     ///
     /// ```
     /// use std::time::Duration;
@@ -332,51 +343,52 @@
     ///
     /// let mut standing = UpstreamStanding::default();
     /// assert!(standing.note_leaving(LeavingSource::Told, Duration::ZERO));
-    /// assert!(!standing.is_leaving(), "only by what another process told");
+    /// assert!(!standing.is_leaving(), "reported by another process only");
     /// assert!(standing.note_leaving(LeavingSource::Answer, Duration::ZERO));
     /// assert!(standing.is_leaving());
     /// ```
     pub fn note_leaving(&mut self, source: LeavingSource, now: MonoTime) -> bool {
         let known = self.leaving;
-        let is_news = known.is_none_or(|known| known.source < source);
-        if is_news {
+        let is_change = known.is_none_or(|known| known.source < source);
+        if is_change {
             let since = known.map_or(now, |known| known.since);
-            self.leaving = Some(LeavingWord { source, since });
+            self.leaving = Some(DrainingReport { source, since });
         }
-        is_news
+        is_change
     }
 
-    /// Several rests may be asked for, by answers that overtake one another: the one that ends last holds.
-    fn rest_until(&mut self, until: MonoTime, now: MonoTime) -> Option<StandingChange> {
-        let is_resting = self.rest_end(now).is_some();
-        if self.rest.is_none_or(|rest| rest.until < until) {
-            self.rest = Some(RestTerm { until, sent: 0 });
+    /// Records a pause. Answers may overtake one another, so of several pauses the one that ends
+    /// last applies.
+    fn start_pause(&mut self, until: MonoTime, now: MonoTime) -> Option<StandingChange> {
+        let is_paused = self.rest_end(now).is_some();
+        if self.pause.is_none_or(|pause| pause.until < until) {
+            self.pause = Some(RequestedPause { until, sent: 0 });
         }
-        (!is_resting).then_some(StandingChange::Rests(until))
+        (!is_paused).then_some(StandingChange::Rests(until))
     }
 
-    /// Tells whether it has said itself that it leaves.
+    /// Tells whether it has reported itself that it is draining.
     ///
     /// ```
     /// assert!(!quillcove_core::standing::UpstreamStanding::default().is_leaving());
     /// ```
     pub fn is_leaving(&self) -> bool {
-        self.leaving.is_some_and(|word| match word.source {
+        self.leaving.is_some_and(|report| match report.source {
             LeavingSource::Told => false,
             LeavingSource::Listing | LeavingSource::Answer => true,
         })
     }
 
-    /// That it leaves, by anybody's word.
+    /// Returns what is known of its draining, from any source.
     ///
     /// ```
     /// assert!(quillcove_core::standing::UpstreamStanding::default().leaving().is_none());
     /// ```
-    pub fn leaving(&self) -> Option<LeavingWord> {
+    pub fn leaving(&self) -> Option<DrainingReport> {
         self.leaving
     }
 
-    /// When its rest ends, if it has not ended.
+    /// Returns the end of a pause that is not over yet.
     ///
     /// ```
     /// use std::time::Duration;
@@ -385,10 +397,11 @@
     /// assert_eq!(standing.rest_end(Duration::ZERO), None);
     /// ```
     pub fn rest_end(&self, now: MonoTime) -> Option<MonoTime> {
-        self.rest.map(|rest| rest.until).filter(|until| now < *until)
+        self.pause.map(|pause| pause.until).filter(|until| now < *until)
     }
 
-    /// Requests that may go to it now, when it rests or has just rested.
+    /// Returns how many requests may still be sent to it now, if it is paused or was until
+    /// recently.
     ///
     /// ```
     /// use std::time::Duration;
@@ -397,10 +410,10 @@
     /// assert_eq!(standing.left(Duration::ZERO), None);
     /// ```
     pub fn left(&self, now: MonoTime) -> Option<u32> {
-        self.rest.and_then(|rest| rest.left(now))
+        self.pause.and_then(|pause| pause.remaining_requests(now))
     }
 
-    /// Tells whether a request may go to it now, as far as rests and limits go.
+    /// Tells whether pauses and limits allow a request to it now.
     ///
     /// ```
     /// use std::time::Duration;
@@ -409,16 +422,17 @@
     /// assert!(standing.takes_work(Duration::ZERO));
     /// ```
     pub fn takes_work(&self, now: MonoTime) -> bool {
-        self.left(now) != Some(0) && self.turn(now).is_some_and(|turn| turn <= now)
+        self.left(now) != Some(0) && self.next_slot(now).is_some_and(|slot| slot <= now)
     }
 
-    /// From when on a request may go to it under its limits; `None` when this process is to send none.
-    fn turn(&self, now: MonoTime) -> Option<MonoTime> {
-        self.paces(now).try_fold(now, |turn, pace| Some(pace.next()?.max(turn)))
+    /// Returns the earliest send slot under its limits; `None` if this process may send none.
+    fn next_slot(&self, now: MonoTime) -> Option<MonoTime> {
+        self.pacers(now).try_fold(now, |slot, pacer| Some(pacer.next_slot()?.max(slot)))
     }
 
-    /// From when on a request may go to it, as far as rests and limits go. Where other processes send what its limit
-    /// allows, one of them is to have a turn by then.
+    /// Returns the earliest time at which pauses and limits allow a request to it. If only other
+    /// processes may send under its limit, this is when one of them has its next send slot at the
+    /// latest.
     ///
     /// ```
     /// use std::time::Duration;
@@ -427,15 +441,15 @@
     /// assert_eq!(standing.takes_work_from(Duration::ZERO), Duration::ZERO);
     /// ```
     pub fn takes_work_from(&self, now: MonoTime) -> MonoTime {
-        let rest = self.rest.filter(|_| self.left(now) == Some(0));
-        let after_rest = rest.map_or(now, |rest| rest.next(now));
-        let gaps = self.paces(now).filter_map(LimitTerm::limit).map(RateLimit::gap);
-        let others_turn = || now + gaps.max().unwrap_or_default();
-        after_rest.max(self.turn(now).unwrap_or_else(others_turn))
+        let pause = self.pause.filter(|_| self.left(now) == Some(0));
+        let after_pause = pause.map_or(now, |pause| pause.next_slot(now));
+        let gaps = self.pacers(now).filter_map(RequestPacer::limit).map(RateLimit::gap);
+        let others_slot = || now + gaps.max().unwrap_or_default();
+        after_pause.max(self.next_slot(now).unwrap_or_else(others_slot))
     }
 
-    /// Tells whether its limit has not been made use of for long by this process, which might have, so that it is to
-    /// be asked whether the limit still holds.
+    /// Tells whether this process has left its send slots under the limit unused for so long that a
+    /// request has to probe whether the limit still applies.
     ///
     /// ```
     /// use std::time::Duration;
@@ -444,10 +458,10 @@
     /// assert!(!standing.is_limit_overdue(Duration::ZERO), "there is none");
     /// ```
     pub fn is_limit_overdue(&self, now: MonoTime) -> bool {
-        self.limit.is_some_and(|term| term.is_overdue(now))
+        self.limit.is_some_and(|pacer| pacer.is_overdue(now))
     }
 
-    /// Notes that a request goes to it.
+    /// Records that a request is sent to it.
     ///
     /// ```
     /// use std::time::Duration;
@@ -456,18 +470,18 @@
     /// standing.begin(Duration::ZERO);
     /// ```
     pub fn begin(&mut self, now: MonoTime) {
-        let cold = self.cold.as_mut().and_then(|term| term.pace_mut(now));
-        for pace in self.limit.iter_mut().chain(cold) {
-            pace.begin(now);
+        let warm_up = self.warm_up.as_mut().and_then(|warm_up| warm_up.pace_mut(now));
+        for pacer in self.limit.iter_mut().chain(warm_up) {
+            pacer.record_send(now);
         }
-        match &mut self.rest {
-            Some(rest) if rest.left(now).is_none() => self.rest = None,
-            Some(rest) => rest.sent += 1,
+        match &mut self.pause {
+            Some(pause) if pause.remaining_requests(now).is_none() => self.pause = None,
+            Some(pause) => pause.sent += 1,
             None => {},
         }
     }
 
-    /// Tells whether nothing is known that matters now.
+    /// Tells whether nothing is known that affects requests now.
     ///
     /// ```
     /// use std::time::Duration;
--- a/quillcove_core/src/standing/notice.rs
+++ b/quillcove_core/src/standing/notice.rs
@@ -1,26 +1,28 @@
-//! What an upstream says of itself with an answer.
+//! The part of an answer in which an upstream reports its own status.
 
 use std::time::{Duration, SystemTime};
 
 use super::limit::RateLimit;
 
-/// Longest rest that is kept to. An upstream that needs more time is down; one that names more, by a slip,
-/// would otherwise be lost to its service until this process starts again.
+/// Maximum pause that is honoured. An upstream that needs more time is down; one that requests more
+/// by mistake would otherwise get no requests until this process restarts.
 pub const LONGEST_REST: Duration = Duration::from_secs(300);
 
-/// What an upstream says of itself with an answer, whatever the answer is.
+/// What an upstream reports about itself in an answer, whatever the answer's status code is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamNotice {
-    /// It is leaving.
+    /// Whether it is draining.
     pub is_leaving: bool,
-    /// It turned the request away and wants nothing from this process for so long.
+    /// The requested pause: it rejected the request and accepts none from this process for this
+    /// long.
     pub rest: Option<Duration>,
-    /// Requests that it takes from all processes together, as long as it says so.
+    /// The rate at which it accepts requests from all processes together, until an answer says
+    /// otherwise.
     pub limit: Option<RateLimit>,
 }
 
 impl UpstreamNotice {
-    /// Tells whether it says anything.
+    /// Tells whether the notice is empty.
     ///
     /// ```
     /// assert!(quillcove_core::standing::notice::UpstreamNotice::default().is_blank());
@@ -30,8 +32,9 @@
     }
 }
 
-/// Reads how long a rest is meant to be: seconds, fractions included, or a date of HTTP's. `None` when it is
-/// neither; what is more than a time can hold is as long as a time can be, and a date that has passed leaves nothing.
+/// Parses the length of a requested pause: seconds, fractions allowed, or an HTTP date. Returns
+/// `None` if the text is neither. A number of seconds too large for a `Duration` gives
+/// [`Duration::MAX`], and a date in the past gives zero.
 ///
 /// ```
 /// use std::time::{Duration, SystemTime};
--- a/quillcove_core/src/standing/pace.rs
+++ b/quillcove_core/src/standing/pace.rs
@@ -1,129 +1,140 @@
-//! A limit that an upstream names for all processes together, and the pace at which this one sends under it.
+//! Paces the requests of this process under a rate limit that an upstream announces for all
+//! processes together.
 
 use std::time::Duration;
 
 use super::limit::RateLimit;
 use crate::ids::MonoTime;
 
-/// Time of its own pace that a process may save up, so that a request which comes while nothing was sent for a while
-/// does not make the next one wait in full.
-const SAVED_TIME: Duration = Duration::from_millis(250);
+/// Maximum unused sending time that a process may accumulate, so that a request sent late does not
+/// delay the next one by a whole gap.
+const MAX_SAVED_TIME: Duration = Duration::from_millis(250);
 
-/// Time from a request's turn until it has to be written. What is written later reaches the upstream together with
-/// requests whose turn came after it.
-const TURN_LIFETIME: Duration = Duration::from_secs(1);
+/// Time from a request's send slot until it has to be written. A request written later would reach
+/// the upstream together with requests of later send slots.
+const SLOT_LIFETIME: Duration = Duration::from_secs(1);
 
-/// Time from a turn of this process that it has not used until it sends the next request there, whichever replica
-/// would be better: only answers tell that a limit is over.
-const OVERDUE_TIME: Duration = Duration::from_secs(3);
+/// Time after an unused send slot of this process at which the next request goes to the upstream
+/// even if another replica is the better choice: only answers show that a limit has ended.
+const LIMIT_PROBE_TIME: Duration = Duration::from_secs(3);
 
-/// By how much a word of another process has to be newer than what is known here. The way of a message makes it
-/// look newer than it is.
-const TOLD_SLACK: Duration = Duration::from_millis(500);
+/// How much newer a limit reported by another process has to be than the one known here. The delay
+/// of the message makes a report look newer than it is.
+const REPORT_DELAY_MARGIN: Duration = Duration::from_millis(500);
 
-/// What the last answer said of a limit, as far as this process knows, and this process's pace under it.
+/// The limit in the latest answer known to this process, and the pace of this process under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LimitTerm {
-    /// The limit; `None` when the last answer named none.
+pub struct RequestPacer {
+    /// The limit; `None` if the answer named none.
     limit: Option<RateLimit>,
-    /// When that answer came, here or to the process which told of it.
-    said_at: MonoTime,
-    /// Since when this process has kept to a limit, or has known that there is none any more.
+    /// When that answer was received, here or by the process that reported it.
+    answered_at: MonoTime,
+    /// Since when this process has observed a limit, or has known that it ended.
     since: MonoTime,
-    /// Time between two requests of this process; `None` when it is to send nothing.
+    /// Time between two requests of this process; `None` if it may send none.
     gap: Option<Duration>,
-    /// The moment that the requests sent so far have used up.
-    used: MonoTime,
+    /// The end of the last send slot used.
+    used_until: MonoTime,
 }
 
-impl LimitTerm {
-    /// A limit that becomes known now; nothing is saved up for it.
-    pub(super) fn new(limit: Option<RateLimit>, said_at: MonoTime, now: MonoTime) -> Self {
+impl RequestPacer {
+    /// Creates a pacer for a limit that is known from `now` on, without accumulated sending time.
+    pub(super) fn new(limit: Option<RateLimit>, answered_at: MonoTime, now: MonoTime) -> Self {
         let gap = limit.map(RateLimit::gap);
-        Self { limit, said_at, since: now, gap, used: now + SAVED_TIME }
+        Self { limit, answered_at, since: now, gap, used_until: now + MAX_SAVED_TIME }
     }
 
-    /// The limit, if one holds.
+    /// Returns the limit, if one is in force.
     pub(super) fn limit(&self) -> Option<RateLimit> {
         self.limit
     }
 
-    /// Since when that is known.
+    /// Returns when this process learned of the limit or of its end.
     pub(super) fn since(&self) -> MonoTime {
         self.since
     }
 
-    /// When the answer came that is known here.
-    pub(super) fn said_at(&self) -> MonoTime {
-        self.said_at
+    /// Returns when the latest known answer was received.
+    pub(super) fn answered_at(&self) -> MonoTime {
+        self.answered_at
     }
 
-    /// Takes what an answer to this process says; tells whether that is news.
-    pub(super) fn name(&mut self, limit: RateLimit, now: MonoTime) -> bool {
-        self.set(Some(limit), now, now)
+    /// Records the limit in an answer to this process; returns whether it differs from the known
+    /// one.
+    pub(super) fn record_limit(&mut self, limit: RateLimit, now: MonoTime) -> bool {
+        self.update_limit(Some(limit), now, now)
     }
 
-    /// Takes another process's word; tells whether it is news.
-    pub(super) fn take_told(
+    /// Records a limit reported by another process; returns whether it differs from the known one.
+    pub(super) fn record_reported_limit(
         &mut self,
         limit: Option<RateLimit>,
-        said_at: MonoTime,
+        answered_at: MonoTime,
         now: MonoTime,
     ) -> bool {
-        said_at > self.said_at + TOLD_SLACK && self.set(limit, said_at, now)
+        answered_at > self.answered_at + REPORT_DELAY_MARGIN
+            && self.update_limit(limit, answered_at, now)
     }
 
-    /// Takes a good answer that names no limit to a request that was sent then; tells whether a limit ends by it. An
-    /// answer to an earlier request may have been made before the limit was named.
-    pub(super) fn note_none(&mut self, sent: MonoTime, now: MonoTime) -> bool {
-        sent > self.said_at && self.set(None, now, now)
+    /// Records a successful answer without a limit to a request sent at `sent`; returns whether
+    /// this ends a limit. The answer to a request sent before the limit was announced does not end
+    /// it.
+    pub(super) fn record_no_limit(&mut self, sent: MonoTime, now: MonoTime) -> bool {
+        sent > self.answered_at && self.update_limit(None, now, now)
     }
 
-    fn set(&mut self, limit: Option<RateLimit>, said_at: MonoTime, now: MonoTime) -> bool {
+    fn update_limit(
+        &mut self,
+        limit: Option<RateLimit>,
+        answered_at: MonoTime,
+        now: MonoTime,
+    ) -> bool {
         let before = self.limit;
         match (before, limit) {
-            (None, Some(_)) | (Some(_), None) => *self = Self::new(limit, said_at, now),
+            (None, Some(_)) | (Some(_), None) => *self = Self::new(limit, answered_at, now),
             (Some(before), Some(limit)) if before != limit && self.gap.is_some() => {
                 self.gap = Some(limit.gap());
             },
             _ => {},
         }
         self.limit = limit;
-        self.said_at = said_at;
+        self.answered_at = answered_at;
         before != limit
     }
 
-    /// Sets the time between two requests of this process. One that sent nothing so far has saved up nothing.
+    /// Sets the time between two requests of this process. A process that could not send until now
+    /// has no accumulated sending time.
     pub(super) fn set_gap(&mut self, gap: Option<Duration>, now: MonoTime) {
         if self.gap.is_none() {
-            self.used = self.used.max(now + SAVED_TIME);
+            self.used_until = self.used_until.max(now + MAX_SAVED_TIME);
         }
         self.gap = gap;
     }
 
-    /// From when on this process may send a request; `None` when it is to send nothing.
-    pub(super) fn next(&self) -> Option<MonoTime> {
+    /// Returns the next time at which this process may send a request; `None` if it may send none.
+    pub(super) fn next_slot(&self) -> Option<MonoTime> {
         match self.limit {
-            Some(_) => Some((self.used + self.gap?).saturating_sub(SAVED_TIME)),
+            Some(_) => Some((self.used_until + self.gap?).saturating_sub(MAX_SAVED_TIME)),
             None => Some(MonoTime::ZERO),
         }
     }
 
-    /// Tells whether a request might have been sent for so long that nobody may know whether the limit still holds.
+    /// Tells whether the last send slot has been unused for so long that the limit may have ended
+    /// without any process noticing.
     pub(super) fn is_overdue(&self, now: MonoTime) -> bool {
-        let turn = self.next().filter(|_| self.limit.is_some());
-        turn.is_some_and(|turn| turn + OVERDUE_TIME <= now)
+        let slot = self.next_slot().filter(|_| self.limit.is_some());
+        slot.is_some_and(|slot| slot + LIMIT_PROBE_TIME <= now)
     }
 
-    /// Notes that a request has its turn.
-    pub(super) fn begin(&mut self, now: MonoTime) {
+    /// Records that a request uses the current send slot.
+    pub(super) fn record_send(&mut self, now: MonoTime) {
         if let (Some(_), Some(gap)) = (self.limit, self.gap) {
-            self.used = (self.used + gap).max(now);
+            self.used_until = (self.used_until + gap).max(now);
         }
     }
 
-    /// Tells whether a request may be written now that had its turn then.
+    /// Tells whether a request whose send slot was at `begun` may be written now.
     pub(super) fn may_write(&self, begun: MonoTime, now: MonoTime) -> bool {
-        self.limit.is_none() || (self.since <= begun && now < begun + TURN_LIFETIME)
+        self.limit.is_none() || (self.since <= begun && now < begun + SLOT_LIFETIME)
     }
 }
