--- a/quillcove_core/src/relay/replica/departed.rs
+++ b/quillcove_core/src/relay/replica/departed.rs
@@ -1,41 +1,42 @@
-//! Replicas that are gone, so that an older copy of the listing does not bring them back.
+//! Tombstones of removed replicas, so that an older copy of the listing does not bring them back.
 
 use super::ReplicaRecord;
 use super::kept::is_same_start;
-use super::recent::RecentReplicas;
+use super::recent::BoundedReplicaMap;
 use crate::relay::beacon::StartTime;
 use crate::relay::position::StorePosition;
 
-/// The last entry of a replica that is gone.
+/// The last known entry of a removed replica.
 #[derive(Clone, Copy, Debug)]
-struct DepartedEntry {
+struct Tombstone {
     born: Option<StartTime>,
     created: StorePosition,
 }
 
-/// Replicas that are gone, by id.
+/// Tombstones by replica id.
 #[derive(Clone, Debug, Default)]
-pub(super) struct DepartedReplicas(RecentReplicas<DepartedEntry>);
+pub(super) struct ReplicaTombstones(BoundedReplicaMap<Tombstone>);
 
-impl DepartedReplicas {
-    /// Notes that a replica is gone.
-    pub(super) fn note(&mut self, record: &ReplicaRecord) {
-        let entry = DepartedEntry { born: record.born, created: record.created };
-        *self.0.of(&record.id, || entry) = entry;
+impl ReplicaTombstones {
+    /// Records that a replica is removed.
+    pub(super) fn add(&mut self, record: &ReplicaRecord) {
+        let tombstone = Tombstone { born: record.born, created: record.created };
+        *self.0.get_or_insert_with(&record.id, || tombstone) = tombstone;
     }
 
-    /// Notes that a replica is there.
-    pub(super) fn forget(&mut self, id: &str) {
+    /// Drops the tombstone of a replica that is listed again.
+    pub(super) fn remove(&mut self, id: &str) {
         self.0.remove(id);
     }
 
-    /// Tells whether a record is the entry of a replica that is gone, as an older copy of the store or a relay that
-    /// knows less still has it. A replica that lists itself again has an entry of its own, created later.
-    pub(super) fn has(&self, record: &ReplicaRecord) -> bool {
-        self.0.get(&record.id).is_some_and(|gone| {
-            let is_older = record.created <= gone.created;
-            let is_copy = record.created.revision == gone.created.revision;
-            is_same_start(gone.born, record.born) && (is_older || is_copy)
+    /// Tells whether a record is the old entry of a removed replica, from an older copy of the
+    /// store or from a relay that is behind. A replica that registers again has a new entry with a
+    /// later creation position.
+    pub(super) fn covers(&self, record: &ReplicaRecord) -> bool {
+        self.0.get(&record.id).is_some_and(|tombstone| {
+            let is_older = record.created <= tombstone.created;
+            let is_copy = record.created.revision == tombstone.created.revision;
+            is_same_start(tombstone.born, record.born) && (is_older || is_copy)
         })
     }
 }
--- a/quillcove_core/src/relay/replica/kept.rs
+++ b/quillcove_core/src/relay/replica/kept.rs
@@ -1,37 +1,42 @@
-//! What replicas that are not listed have said of themselves.
+//! The status that unlisted replicas have reported about themselves.
 //!
-//! An entry lapses and comes back while the store is away, or is read anew; a replica that was leaving before
-//! leaves after it as well.
+//! An entry expires and comes back while the store is unavailable or is read again; a replica that
+//! was draining before is still draining after that.
 
-use super::recent::RecentReplicas;
+use super::recent::BoundedReplicaMap;
 use crate::relay::beacon::StartTime;
 use crate::standing::UpstreamStanding;
 
-/// Tells whether two start times can be those of one start. Where a platform names none, each start has an id of
-/// its own.
+/// Tells whether two start times can belong to the same start. A platform that reports no start
+/// time gives each start an id of its own.
 pub(super) fn is_same_start(one: Option<StartTime>, other: Option<StartTime>) -> bool {
     one.is_none() || other.is_none() || one == other
 }
 
-/// Words of replicas without an entry, by id and start.
+/// The status of each unlisted replica, by id and start time.
 #[derive(Clone, Debug, Default)]
-pub(super) struct KeptStandings(RecentReplicas<(Option<StartTime>, UpstreamStanding)>);
+pub(super) struct UnlistedStatuses(BoundedReplicaMap<(Option<StartTime>, UpstreamStanding)>);
 
-impl KeptStandings {
-    /// The standing of one start of a replica, to be changed; an earlier start's is dropped.
-    pub(super) fn of(&mut self, id: &str, born: Option<StartTime>) -> &mut UpstreamStanding {
+impl UnlistedStatuses {
+    /// Returns the status of one start of a replica for changes; the status of an earlier start is
+    /// dropped.
+    pub(super) fn status_mut(
+        &mut self,
+        id: &str,
+        born: Option<StartTime>,
+    ) -> &mut UpstreamStanding {
         let fresh = || (born, UpstreamStanding::default());
-        let kept = self.0.of(id, fresh);
-        if !is_same_start(kept.0, born) && born > kept.0 {
-            *kept = fresh();
+        let entry = self.0.get_or_insert_with(id, fresh);
+        if !is_same_start(entry.0, born) && born > entry.0 {
+            *entry = fresh();
         }
-        &mut kept.1
+        &mut entry.1
     }
 
-    /// Takes out what a replica that is listed now has said in this start.
+    /// Removes and returns the status that a now listed replica has reported in this start.
     pub(super) fn take(&mut self, id: &str, born: Option<StartTime>) -> UpstreamStanding {
         match self.0.remove(id) {
-            Some((kept, standing)) if is_same_start(kept, born) => standing,
+            Some((kept_born, status)) if is_same_start(kept_born, born) => status,
             _ => UpstreamStanding::default(),
         }
     }
--- a/quillcove_core/src/relay/replica/mod.rs
+++ b/quillcove_core/src/relay/replica/mod.rs
@@ -1,4 +1,5 @@
-//! An upstream: what the platform lists of it, what it holds, and how loaded it is.
+//! One replica of an upstream service: its entry in the platform's listing, the adapters and models
+//! that it holds, and its load.
 
 mod departed;
 mod kept;
@@ -19,59 +20,59 @@
 use crate::ids::{AdapterVersion, HallName, ModelName, MonoTime, ServiceName};
 use crate::standing::UpstreamStanding;
 
-/// Age up to which a loader's report goes before the platform's listing. Loaders report at least
-/// each 500 ms, so this bears two lost datagrams.
+/// Age up to which a loader's report takes precedence over the platform's listing. Loaders report
+/// at least every 500 ms, so this tolerates two lost datagrams.
 pub const REPORT_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// Silence of a replica with requests in flight after which it counts as stuck. A plain call or a
-/// step of an engine takes a fraction of it.
+/// Silence of a replica with requests in flight after which it counts as stuck. A plain call or an
+/// engine step takes a fraction of this time.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1200);
 
-/// Load of a request that waits for its first event. Reading a common prompt takes some 60 ms, so
-/// ten of them are more than a caller will wait.
-const WAITING_LOAD: f64 = 0.1;
+/// Load of a request that waits for its first event. Reading a common prompt takes about 60 ms, so
+/// ten waiting requests delay a caller by more than it tolerates.
+const WAITING_REQUEST_LOAD: f64 = 0.1;
 
-/// Whether a replica takes new work.
+/// Whether a replica accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaState {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It is leaving.
+    /// It is draining.
     Draining,
 }
 
-/// One replica as the platform lists it.
+/// One replica as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaRecord {
-    /// Names the replica; with [`ReplicaRecord::born`] it identifies one start of it.
+    /// Id of the replica; together with [`ReplicaRecord::born`] it identifies one start.
     pub id: ReplicaId,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// When it started, in milliseconds of the wall clock; a replica that starts again under its id has a
-    /// later one. `None` when the platform does not say.
+    /// Start time, in milliseconds of the wall clock; a replica that restarts under the same id has
+    /// a later one. `None` if the platform reports none.
     pub born: Option<StartTime>,
     /// Position in the store at which its entry was created. Of several replicas listed at one
-    /// address, only the one that was created last can be there; the entries of its predecessors
-    /// have not lapsed yet.
+    /// address, only the one created last can be running; the entries of its predecessors have not
+    /// expired yet.
     pub created: StorePosition,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Its hall.
+    /// Hall in which it runs.
     pub hall: HallName,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub places: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: ReplicaState,
-    /// Time for which it is cold from now on; zero for one that is warm.
+    /// Remaining warm-up time; zero once the replica is warm.
     pub cold_left: Duration,
-    /// Base models that it holds.
+    /// Base models that it holds in memory.
     pub models: Vec<ModelName>,
-    /// Adapters that it holds.
+    /// Adapters that it holds in memory.
     pub adapters: Vec<HeldAdapter>,
 }
 
 impl ReplicaRecord {
-    /// How this record follows an earlier one of the same id.
+    /// Compares this record with an earlier one of the same id.
     ///
     /// ```
     /// use quillcove_core::relay::replica::{RecordOrder, ReplicaRecord, example_record};
@@ -84,74 +85,74 @@
     /// ```
     pub fn follows(&self, earlier: &Self) -> RecordOrder {
         match (self.born, earlier.born) {
-            (Some(born), Some(before)) if born > before => RecordOrder::Restart,
-            (Some(born), Some(before)) if born < before => RecordOrder::Late,
+            (Some(born), Some(earlier_born)) if born > earlier_born => RecordOrder::Restart,
+            (Some(born), Some(earlier_born)) if born < earlier_born => RecordOrder::Late,
             _ => RecordOrder::SameStart,
         }
     }
 }
 
-/// How a record follows an earlier one of the same id.
+/// How a record relates to an earlier one of the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordOrder {
-    /// It tells of the same start of the replica.
+    /// It describes the same start of the replica.
     SameStart,
-    /// The replica has started again; nothing that was known of it holds.
+    /// It describes a restart of the replica; nothing known about the earlier start applies.
     Restart,
-    /// It tells of a start before the known one.
+    /// It describes a start before the known one.
     Late,
 }
 
-/// How an attempt at a replica ended, as far as the replica's health goes.
+/// Outcome of an attempt at a replica, with regard to the replica's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFate {
-    /// It answered as it should.
+    /// It answered normally.
     Answered,
-    /// It refused: it is full, or not what it was taken for.
+    /// It rejected the request: it is full, or does not have the expected identity or adapter.
     Refused,
-    /// It broke off, said nothing, or could not be reached.
+    /// It broke off the answer, sent none, or could not be reached.
     Failed,
-    /// The caller left; this says nothing of the replica.
+    /// The caller disconnected, which shows nothing about the replica.
     Abandoned,
 }
 
-/// A replica with what this process knows of it.
+/// A replica and what this process knows of it.
 #[derive(Clone, Debug)]
 pub struct ReplicaView {
-    /// As the platform lists it.
+    /// The platform's listing.
     pub record: ReplicaRecord,
-    /// Requests of this process in flight there.
+    /// Requests of this process in flight.
     pub in_flight: u32,
-    /// What it says of itself in its answers.
+    /// What it has reported about itself in its answers.
     pub standing: UpstreamStanding,
-    /// Since when its loader has reported that it leaves.
-    reported_leaving: Option<MonoTime>,
-    /// Whether the operator has its hall emptied.
-    is_hall_emptied: bool,
-    /// Whether its entry is missing, though it may come back.
-    is_doubted: bool,
-    /// Whether it is in this relay's cell.
+    /// Since when its loader has reported it as draining.
+    reported_draining_since: Option<MonoTime>,
+    /// Whether the operator has its hall evacuated.
+    is_hall_evacuated: bool,
+    /// Whether its entry is missing from the store but may come back.
+    is_unconfirmed: bool,
+    /// Whether it belongs to this relay's cell.
     pub is_near: bool,
-    /// When the platform's listing was last taken.
+    /// When its listing was last read.
     listed_at: MonoTime,
-    /// The last report of its loader, and when it came.
+    /// The last report of its loader, and when it was received.
     report: Option<(EngineReport, MonoTime)>,
-    /// Adapters that it can take in, by that report.
-    spare_places: Option<u32>,
-    /// Requests of all relays in flight for each adapter of that report, in its order.
+    /// Free adapter slots according to that report.
+    free_slots: Option<u32>,
+    /// Requests of all relays in flight for each adapter of that report, in the report's order.
     fleet_uses: Vec<u32>,
-    /// Since when it has been reported to hold no base model.
+    /// Since when its loader has reported no base model in memory.
     empty_since: Option<MonoTime>,
-    /// Requests sent since that report.
-    sent_since: u32,
-    /// Prompts that it has to read.
+    /// Requests of this process sent since that report.
+    sent_since_report: u32,
+    /// Prompts that it has not read yet.
     pub reading: ReadingQueue,
     /// Use of its adapters by this process.
     uses: BTreeMap<AdapterKey, AdapterUse>,
     failures: u32,
     ejections: u32,
     ejected_until: MonoTime,
-    last_heard: MonoTime,
+    last_received: MonoTime,
 }
 
 impl ReplicaView {
@@ -160,28 +161,29 @@
             record,
             in_flight: 0,
             standing: UpstreamStanding::default(),
-            reported_leaving: None,
-            is_hall_emptied: false,
-            is_doubted: false,
+            reported_draining_since: None,
+            is_hall_evacuated: false,
+            is_unconfirmed: false,
             is_near: true,
             listed_at: now,
             report: None,
-            spare_places: None,
+            free_slots: None,
             fleet_uses: Vec::new(),
             empty_since: None,
-            sent_since: 0,
+            sent_since_report: 0,
             reading: ReadingQueue::default(),
             uses: BTreeMap::new(),
             failures: 0,
             ejections: 0,
             ejected_until: MonoTime::ZERO,
-            last_heard: now,
+            last_received: now,
         }
     }
 
-    /// Tells whether it stays: neither its entry, nor its loader, nor an answer of it says that it leaves, and its
-    /// hall is not to be emptied. Loader and answers know it first, and alone where the store is away; each word
-    /// stands for itself, so that a later one of another source takes nothing back.
+    /// Tells whether it is not draining: its entry, its loader and its answers do not report it as
+    /// draining, and its hall is not being evacuated. The loader and the answers show draining
+    /// first, and are the only sources while the store is unavailable. The sources are independent:
+    /// a later report of one does not override another's.
     ///
     /// ```
     /// use std::time::Duration;
@@ -192,11 +194,12 @@
     /// assert!(table.get("i-1").unwrap().is_ready());
     /// ```
     pub fn is_ready(&self) -> bool {
-        let is_listed = self.record.state == ReplicaState::Ready && !self.is_hall_emptied;
+        let is_listed = self.record.state == ReplicaState::Ready && !self.is_hall_evacuated;
         is_listed && self.leaving_since().is_none()
     }
 
-    /// Since when it has been known to leave by its own word, in an answer or its entry, or its loader's.
+    /// Returns since when it is known to be draining from its answers, its entry or its loader's
+    /// reports.
     ///
     /// ```
     /// use std::time::Duration;
@@ -207,12 +210,13 @@
     /// assert_eq!(table.get("i-1").unwrap().leaving_since(), None);
     /// ```
     pub fn leaving_since(&self) -> Option<MonoTime> {
-        let said = self.standing.leaving().filter(|_| self.standing.is_leaving());
-        let said = said.map(|word| word.since);
-        [said, self.reported_leaving].into_iter().flatten().min()
+        let own = self.standing.leaving().filter(|_| self.standing.is_leaving());
+        let own_since = own.map(|report| report.since);
+        [own_since, self.reported_draining_since].into_iter().flatten().min()
     }
 
-    /// Tells whether new work may go to it now: it stays, and does not rest.
+    /// Tells whether new requests may go to it now: it is not draining, and pauses and limits allow
+    /// requests.
     ///
     /// ```
     /// use std::time::Duration;
@@ -226,8 +230,8 @@
         self.is_ready() && self.standing.takes_work(now)
     }
 
-    /// Tells whether it seems to work: not left out after failures, not silent while requests are in
-    /// flight, its entry is there, and no other relay told that it leaves.
+    /// Tells whether it seems healthy: it is not ejected after failures, not silent with requests
+    /// in flight, its entry is present, and no other relay has reported it as draining.
     ///
     /// ```
     /// use std::time::Duration;
@@ -238,12 +242,13 @@
     /// assert!(table.get("i-1").unwrap().seems_well(Duration::ZERO));
     /// ```
     pub fn seems_well(&self, now: MonoTime) -> bool {
-        let is_silent = self.in_flight > 0 && now.saturating_sub(self.last_heard) > SILENCE_LIMIT;
-        let is_present = !self.is_doubted && self.standing.leaving().is_none();
+        let is_silent =
+            self.in_flight > 0 && now.saturating_sub(self.last_received) > SILENCE_LIMIT;
+        let is_present = !self.is_unconfirmed && self.standing.leaving().is_none();
         now >= self.ejected_until && !is_silent && is_present
     }
 
-    /// Tells whether bytes came from it after this time.
+    /// Tells whether bytes from it have been received after this time.
     ///
     /// ```
     /// use std::time::Duration;
@@ -254,10 +259,10 @@
     /// assert!(!table.get("i-1").unwrap().is_heard_since(Duration::ZERO));
     /// ```
     pub fn is_heard_since(&self, at: MonoTime) -> bool {
-        self.last_heard > at
+        self.last_received > at
     }
 
-    /// The loader's report, unless it is too old.
+    /// Returns the loader's report, unless it is too old.
     ///
     /// ```
     /// use std::time::Duration;
@@ -268,11 +273,11 @@
     /// assert!(table.get("i-1").unwrap().report(Duration::ZERO).is_none());
     /// ```
     pub fn report(&self, now: MonoTime) -> Option<&EngineReport> {
-        let (report, heard) = self.report.as_ref()?;
-        (now.saturating_sub(*heard) <= REPORT_LIFETIME).then_some(report)
+        let (report, received_at) = self.report.as_ref()?;
+        (now.saturating_sub(*received_at) <= REPORT_LIFETIME).then_some(report)
     }
 
-    /// Adapters that it can take in now, if its loader told so lately.
+    /// Returns the number of free adapter slots, if its loader has reported recently.
     ///
     /// ```
     /// use std::time::Duration;
@@ -284,11 +289,12 @@
     /// ```
     pub fn spare_places(&self, now: MonoTime) -> Option<u32> {
         self.report(now)?;
-        self.spare_places
+        self.free_slots
     }
 
-    /// When it will hold a base model, as far as its loader's report tells: now when it does, and
-    /// after a load from its host's copy or from the weight store when it is empty.
+    /// Returns when it will hold a base model, as far as its loader's report shows: now if it holds
+    /// the model already, or, if it holds none, after a load from its host's copy or from the
+    /// weight store.
     ///
     /// ```
     /// use std::time::Duration;
@@ -319,16 +325,17 @@
         Some((self.empty_since? + load_time).max(now))
     }
 
-    /// The last word on what it holds: the loader's report, unless that is too old and the platform's
-    /// listing was taken after it. A relay that is told of the store takes listings only when they
-    /// matter, so that an old report may be the newer word.
-    fn held_report(&self, now: MonoTime) -> Option<&EngineReport> {
-        let (report, heard) = self.report.as_ref()?;
-        let is_last_word = *heard >= self.listed_at;
-        (is_last_word || self.report(now).is_some()).then_some(report)
+    /// Returns the loader's report if that is the latest information on what the replica holds: it
+    /// is recent, or was received no earlier than the platform's listing was read. A relay that
+    /// follows the store through another one applies listings only when they matter, so even an old
+    /// report may be newer than the listing.
+    fn holdings_report(&self, now: MonoTime) -> Option<&EngineReport> {
+        let (report, received_at) = self.report.as_ref()?;
+        let is_latest = *received_at >= self.listed_at;
+        (is_latest || self.report(now).is_some()).then_some(report)
     }
 
-    /// Tells whether its entry is missing, though it may come back.
+    /// Tells whether its entry is missing from the store but may come back.
     ///
     /// ```
     /// use std::time::Duration;
@@ -339,10 +346,11 @@
     /// assert!(!table.get("i-1").unwrap().is_doubted());
     /// ```
     pub fn is_doubted(&self) -> bool {
-        self.is_doubted
+        self.is_unconfirmed
     }
 
-    /// Adapters that it holds: by the loader's report, or else by the platform's listing.
+    /// Returns the adapters that it holds, from the loader's report or else from the platform's
+    /// listing.
     ///
     /// ```
     /// use std::time::Duration;
@@ -353,10 +361,10 @@
     /// assert!(table.get("i-1").unwrap().adapters(Duration::ZERO).is_empty());
     /// ```
     pub fn adapters(&self, now: MonoTime) -> &[HeldAdapter] {
-        self.held_report(now).map_or(&self.record.adapters, |report| &report.adapters)
+        self.holdings_report(now).map_or(&self.record.adapters, |report| &report.adapters)
     }
 
-    /// Base models that it holds.
+    /// Returns the base models that it holds.
     ///
     /// ```
     /// use std::time::Duration;
@@ -367,10 +375,10 @@
     /// assert_eq!(table.get("i-1").unwrap().models(Duration::ZERO), ["m"]);
     /// ```
     pub fn models(&self, now: MonoTime) -> &[ModelName] {
-        self.held_report(now).map_or(&self.record.models, |report| &report.models)
+        self.holdings_report(now).map_or(&self.record.models, |report| &report.models)
     }
 
-    /// Version of an adapter that it holds.
+    /// Returns the version of an adapter that it holds.
     ///
     /// ```
     /// use std::time::Duration;
@@ -387,7 +395,8 @@
         held.map(|held| held.version)
     }
 
-    /// Tells whether this process uses adapters of it, or has used some since its loader was told last.
+    /// Tells whether this process uses its adapters, or has used any since its last report to the
+    /// loader.
     ///
     /// ```
     /// use std::time::Duration;
@@ -401,7 +410,7 @@
         !self.uses.is_empty()
     }
 
-    /// Requests of this process for an adapter that are in flight there.
+    /// Returns the number of this process's requests in flight for an adapter.
     ///
     /// ```
     /// use std::time::Duration;
@@ -418,8 +427,9 @@
         self.uses.get(key).map_or(0, |used| used.in_flight)
     }
 
-    /// Requests of all relays for an adapter that are in flight there, as far as this process knows:
-    /// its own, or more by the loader's last word, which relays' uses reach twice a second.
+    /// Returns the number of all relays' requests in flight for an adapter, as far as this process
+    /// knows: the number in the loader's last report, or its own if that is higher. Relays report
+    /// their uses to loaders twice a second.
     ///
     /// ```
     /// use std::time::Duration;
@@ -437,18 +447,18 @@
         let Some(report) = self.report(now) else {
             return own;
         };
-        // After an adapter turned out to be missing, the two lists differ until the next report.
+        // The two lists differ from the removal of a missing adapter until the next report.
         if report.adapters.len() != self.fleet_uses.len() {
             return own;
         }
-        let place = report.adapters.iter().position(|held| held.key == *key);
-        place.map_or(own, |place| self.fleet_uses[place].max(own))
+        let index = report.adapters.iter().position(|held| held.key == *key);
+        index.map_or(own, |index| self.fleet_uses[index].max(own))
     }
 
-    /// How loaded it is: 1 and more is as good as full. Requests count as a share of its places,
-    /// and those that wait for their first event on top of that, as prompts are read one after
-    /// another. Known from the last report and what was sent since, or from this process's own
-    /// requests alone.
+    /// Returns its load; 1 or more means practically full. Requests count as a fraction of its
+    /// capacity ([`ReplicaRecord::places`]), and requests that wait for their first event count
+    /// extra, as prompts are read one after another. The load is taken from the last report and the
+    /// requests sent since, or, without a report, from this process's own requests alone.
     ///
     /// ```
     /// use std::time::Duration;
@@ -460,11 +470,11 @@
     /// assert!(table.get("i-1").unwrap().load(Duration::ZERO) > 0.0);
     /// ```
     pub fn load(&self, now: MonoTime) -> f64 {
-        let waiting = self.report(now).map_or(0, |report| report.waiting + self.sent_since);
-        self.share_of_places(now) + f64::from(waiting) * WAITING_LOAD
+        let waiting = self.report(now).map_or(0, |report| report.waiting + self.sent_since_report);
+        self.share_of_places(now) + f64::from(waiting) * WAITING_REQUEST_LOAD
     }
 
-    /// Requests that it has as a share of its places, as far as this process knows.
+    /// Returns its requests as a fraction of its capacity, as far as this process knows.
     ///
     /// ```
     /// use std::time::Duration;
@@ -476,14 +486,16 @@
     /// ```
     pub fn share_of_places(&self, now: MonoTime) -> f64 {
         let requests = match self.report(now) {
-            Some(report) => (report.running + report.waiting + self.sent_since).max(self.in_flight),
+            Some(report) => {
+                (report.running + report.waiting + self.sent_since_report).max(self.in_flight)
+            },
             None => self.in_flight,
         };
         f64::from(requests) / f64::from(self.record.places.max(1))
     }
 }
 
-/// A ready replica of the service `s` with the model `m`, for examples and tests.
+/// Returns a ready replica of the service `s` with the model `m`, for examples and tests.
 ///
 /// ```
 /// assert_eq!(quillcove_core::relay::replica::example_record("i-1").id, "i-1");
--- a/quillcove_core/src/relay/replica/table.rs
+++ b/quillcove_core/src/relay/replica/table.rs
@@ -1,4 +1,4 @@
-//! The upstreams that are known, by id and by address.
+//! The known replicas, by id and by address.
 
 mod attempts;
 mod words;
@@ -6,36 +6,36 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-use super::departed::DepartedReplicas;
-use super::kept::KeptStandings;
+use super::departed::ReplicaTombstones;
+use super::kept::UnlistedStatuses;
 use super::{ReplicaRecord, ReplicaState, ReplicaView};
 use crate::ids::{HallName, MonoTime, ServiceName};
 use crate::relay::beacon::{AdapterKey, AdapterUse, EngineGauges, EngineReport, ReplicaId};
 use crate::relay::reading::{ReadingNorm, ReadingNumber, ReadingPrompt};
 use crate::standing::{LeavingSource, UpstreamStanding};
 
-/// All replicas that are known.
+/// All known replicas.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaTable {
     replicas: BTreeMap<ReplicaId, ReplicaView>,
-    /// The replicas that are listed at each address: mostly one, and its predecessor until that is gone.
-    /// Each report of a loader and each entry of a listing looks one up, so that a search of all would
+    /// The replicas listed at each address: usually one, and its predecessor until that is removed.
+    /// Each loader report and each listing entry looks up an address, so that a linear search would
     /// grow with the square of the fleet.
     by_address: HashMap<SocketAddr, BTreeSet<ReplicaId>>,
-    /// What the engines of each service have in common.
-    norms: BTreeMap<ServiceName, ReadingNorm>,
-    /// Full engines where an adapter went out of use.
-    freed: BTreeSet<ReplicaId>,
-    /// Halls that are to be emptied.
-    emptied: BTreeSet<HallName>,
-    /// What replicas without an entry have said of themselves.
-    kept: KeptStandings,
-    /// Replicas that are gone.
-    departed: DepartedReplicas,
+    /// Reading speed and prompt sizes common to the engines of each service.
+    reading_norms: BTreeMap<ServiceName, ReadingNorm>,
+    /// Engines without a free adapter slot on which this process has stopped using an adapter.
+    freed_engines: BTreeSet<ReplicaId>,
+    /// Evacuated halls.
+    evacuated_halls: BTreeSet<HallName>,
+    /// The status that replicas without an entry have reported about themselves.
+    unlisted: UnlistedStatuses,
+    /// Tombstones of removed replicas.
+    tombstones: ReplicaTombstones,
 }
 
 impl ReplicaTable {
-    /// Takes a replica's listing; tells whether it was unknown or changed its state.
+    /// Records a replica's listing; returns whether the replica was unknown or its state changed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -46,41 +46,41 @@
     /// assert!(!table.list(example_record("i-1"), Duration::ZERO));
     /// ```
     pub fn list(&mut self, record: ReplicaRecord, now: MonoTime) -> bool {
-        let before = self.replicas.get(&record.id).map(|view| view.record.address);
-        if let Some(address) = before.filter(|address| *address != record.address) {
-            self.leave(address, &record.id);
+        let previous_address = self.replicas.get(&record.id).map(|view| view.record.address);
+        if let Some(address) = previous_address.filter(|address| *address != record.address) {
+            self.remove_address(address, &record.id);
         }
         self.by_address.entry(record.address).or_default().insert(record.id.clone());
-        self.departed.forget(&record.id);
-        let is_hall_emptied = self.emptied.contains(&record.hall);
+        self.tombstones.remove(&record.id);
+        let is_hall_evacuated = self.evacuated_halls.contains(&record.hall);
         let id = record.id.clone();
         let is_leaving = record.state == ReplicaState::Draining;
         let is_changed = match self.replicas.get_mut(&id) {
             Some(view) => {
                 let is_changed = view.record.state != record.state;
                 view.record = record;
-                view.is_hall_emptied = is_hall_emptied;
-                view.is_doubted = false;
+                view.is_hall_evacuated = is_hall_evacuated;
+                view.is_unconfirmed = false;
                 view.listed_at = now;
                 is_changed
             },
             None => {
-                let standing = self.kept.take(&id, record.born);
+                let standing = self.unlisted.take(&id, record.born);
                 let view =
-                    ReplicaView { standing, is_hall_emptied, ..ReplicaView::new(record, now) };
+                    ReplicaView { standing, is_hall_evacuated, ..ReplicaView::new(record, now) };
                 self.replicas.insert(id.clone(), view);
                 true
             },
         };
-        // An older copy of the entry takes nothing of this back.
+        // A later, older copy of the entry does not undo this.
         if let Some(view) = self.replicas.get_mut(&id).filter(|_| is_leaving) {
             view.standing.note_leaving(LeavingSource::Listing, now);
         }
         is_changed
     }
 
-    /// Notes that a replica's entry is missing, though it may come back: it gets work only where the others of its
-    /// service would be too few.
+    /// Records that a replica's entry is missing but may come back. Such a replica gets requests
+    /// only if the others of its service are too few.
     ///
     /// ```
     /// use std::time::Duration;
@@ -93,12 +93,12 @@
     /// ```
     pub fn doubt(&mut self, id: &str) {
         if let Some(view) = self.replicas.get_mut(id) {
-            view.is_doubted = true;
+            view.is_unconfirmed = true;
         }
     }
 
-    /// Tells whether a record is the entry of a replica that is gone, as an older copy of the listing has it, or a
-    /// relay that knows less.
+    /// Tells whether a record is the old entry of a removed replica, from an older copy of the
+    /// listing or from a relay that is behind.
     ///
     /// ```
     /// use std::time::Duration;
@@ -112,11 +112,11 @@
     /// assert!(table.has_departed(&ReplicaRecord { created, ..example_record("i-1") }));
     /// ```
     pub fn has_departed(&self, record: &ReplicaRecord) -> bool {
-        self.departed.has(record)
+        self.tombstones.covers(record)
     }
 
-    /// Notes that a hall is to be emptied, so that its replicas get no new work, or is in use again; tells whether
-    /// that is news.
+    /// Records whether a hall is evacuated, so that its replicas get no new requests; returns
+    /// whether that changed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -127,18 +127,19 @@
     /// assert!(table.set_emptied("hall-a", true));
     /// assert!(!table.get("i-1").unwrap().is_ready());
     /// ```
-    pub fn set_emptied(&mut self, hall: &str, is_emptied: bool) -> bool {
-        let is_news = match is_emptied {
-            true => self.emptied.insert(hall.to_string()),
-            false => self.emptied.remove(hall),
+    pub fn set_emptied(&mut self, hall: &str, is_evacuated: bool) -> bool {
+        let is_change = match is_evacuated {
+            true => self.evacuated_halls.insert(hall.to_string()),
+            false => self.evacuated_halls.remove(hall),
         };
         for view in self.replicas.values_mut().filter(|view| view.record.hall == hall) {
-            view.is_hall_emptied = is_emptied;
+            view.is_hall_evacuated = is_evacuated;
         }
-        is_news
+        is_change
     }
 
-    /// Sets which replicas are in this relay's cell; all are of the services named as lost.
+    /// Sets which replicas belong to this relay's cell. For the services in `lost`, whose cell has
+    /// no ready replica, all replicas count as in the cell.
     ///
     /// ```
     /// use std::collections::BTreeSet;
@@ -158,7 +159,7 @@
         }
     }
 
-    /// The halls that are to be emptied.
+    /// Returns the evacuated halls.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -166,27 +167,27 @@
     /// assert!(ReplicaTable::default().emptied().is_empty());
     /// ```
     pub fn emptied(&self) -> &BTreeSet<HallName> {
-        &self.emptied
+        &self.evacuated_halls
     }
 
-    /// Notes that a replica no longer is at an address.
-    fn leave(&mut self, address: SocketAddr, id: &str) {
-        let Some(there) = self.by_address.get_mut(&address) else {
+    /// Removes a replica from the index of an address.
+    fn remove_address(&mut self, address: SocketAddr, id: &str) {
+        let Some(ids) = self.by_address.get_mut(&address) else {
             return;
         };
-        there.remove(id);
-        if there.is_empty() {
+        ids.remove(id);
+        if ids.is_empty() {
             self.by_address.remove(&address);
         }
     }
 
-    /// The replicas that are listed at an address.
-    fn all_at(&self, address: SocketAddr) -> impl Iterator<Item = &ReplicaView> {
+    /// Returns the replicas listed at an address.
+    fn replicas_at(&self, address: SocketAddr) -> impl Iterator<Item = &ReplicaView> {
         let ids = self.by_address.get(&address).into_iter().flatten();
         ids.filter_map(|id| self.replicas.get(id))
     }
 
-    /// Forgets a replica that has gone; tells whether it was known.
+    /// Removes a replica; returns whether it was known.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -197,14 +198,15 @@
         let Some(view) = self.replicas.remove(id) else {
             return false;
         };
-        self.leave(view.record.address, id);
+        self.remove_address(view.record.address, id);
         if view.standing != UpstreamStanding::default() {
-            *self.kept.of(id, view.record.born) = view.standing;
+            *self.unlisted.status_mut(id, view.record.born) = view.standing;
         }
         true
     }
 
-    /// Forgets a replica whose entry is gone, so that its entry is not taken from an older listing.
+    /// Removes a replica that is gone for good, and records a tombstone so that an older listing
+    /// does not bring its entry back; returns whether the replica was known.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -213,12 +215,12 @@
     /// ```
     pub fn remove_gone(&mut self, id: &str) -> bool {
         if let Some(view) = self.replicas.get(id) {
-            self.departed.note(&view.record);
+            self.tombstones.add(&view.record);
         }
         self.remove(id)
     }
 
-    /// One replica.
+    /// Returns a replica by id.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -229,7 +231,7 @@
         self.replicas.get(id)
     }
 
-    /// All replicas, in no order.
+    /// Returns all replicas, in no particular order.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -240,7 +242,8 @@
         self.replicas.values()
     }
 
-    /// The replica that listens at an address now: of several, the one that was listed last.
+    /// Returns the replica that listens at an address now: of several, the one whose entry was
+    /// created last.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -248,10 +251,10 @@
     /// assert!(ReplicaTable::default().at("127.0.0.1:1".parse().unwrap()).is_none());
     /// ```
     pub fn at(&self, address: SocketAddr) -> Option<&ReplicaView> {
-        self.all_at(address).max_by_key(|view| view.record.created)
+        self.replicas_at(address).max_by_key(|view| view.record.created)
     }
 
-    /// Forgets the replicas that listened at a replica's address before it; gives their ids.
+    /// Removes the predecessors of a replica at its address; returns their ids.
     ///
     /// ```
     /// use std::time::Duration;
@@ -265,18 +268,19 @@
     /// assert_eq!(table.remove_before(&next), ["i-1"]);
     /// ```
     pub fn remove_before(&mut self, record: &ReplicaRecord) -> Vec<ReplicaId> {
-        let is_before = |view: &&ReplicaView| {
+        let is_predecessor = |view: &&ReplicaView| {
             view.record.id != record.id && view.record.created < record.created
         };
-        let there = self.all_at(record.address).filter(is_before);
-        let before: Vec<ReplicaId> = there.map(|view| view.record.id.clone()).collect();
-        for id in &before {
+        let predecessors = self.replicas_at(record.address).filter(is_predecessor);
+        let ids: Vec<ReplicaId> = predecessors.map(|view| view.record.id.clone()).collect();
+        for id in &ids {
             self.remove_gone(id);
         }
-        before
+        ids
     }
 
-    /// Takes a loader's report on the engine at an address; tells whether the adapters changed.
+    /// Records a loader's report on the engine at an address; returns whether the adapters or base
+    /// models changed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -300,17 +304,17 @@
             false => None,
         };
         view.reading.report(report.waiting);
-        view.reported_leaving = match report.is_leaving {
-            true => view.reported_leaving.or(Some(now)),
+        view.reported_draining_since = match report.is_leaving {
+            true => view.reported_draining_since.or(Some(now)),
             false => None,
         };
         view.report = Some((report, now));
-        view.sent_since = 0;
+        view.sent_since_report = 0;
         is_changed
     }
 
-    /// Takes an engine's gauges into its loader's last report, which is as good as new with them;
-    /// `false` when there is none.
+    /// Updates the loader's last report with an engine's gauges and renews its age; returns `false`
+    /// if there is no report.
     ///
     /// ```
     /// use std::time::Duration;
@@ -326,28 +330,28 @@
         let Some(view) = id.and_then(|id| self.replicas.get_mut(&id)) else {
             return false;
         };
-        let Some((report, heard)) = &mut view.report else {
+        let Some((report, received_at)) = &mut view.report else {
             return false;
         };
         report.running = gauges.running;
         report.waiting = gauges.waiting;
         report.is_busy = gauges.is_busy;
-        *heard = now;
+        *received_at = now;
         view.reading.report(gauges.waiting);
-        view.sent_since = 0;
+        view.sent_since_report = 0;
         true
     }
 
-    /// What the engines of a service have in common.
+    /// Returns the reading speed and prompt sizes common to the engines of a service.
     ///
     /// ```
     /// quillcove_core::relay::replica::ReplicaTable::default().norm("s");
     /// ```
     pub fn norm(&self, service: &str) -> ReadingNorm {
-        self.norms.get(service).copied().unwrap_or_default()
+        self.reading_norms.get(service).copied().unwrap_or_default()
     }
 
-    /// Notes that a prompt is sent.
+    /// Records that a prompt is sent.
     ///
     /// ```
     /// use std::time::Duration;
@@ -365,26 +369,27 @@
         now: MonoTime,
     ) {
         if let Some(view) = self.replicas.get_mut(id) {
-            let norm = self.norms.entry(view.record.service.clone()).or_default();
+            let norm = self.reading_norms.entry(view.record.service.clone()).or_default();
             norm.note_prompt(prompt.tokens);
             view.reading.begin(number, prompt, norm, now);
         }
     }
 
-    /// Notes that an attempt has its first event at this time, or has ended without one.
+    /// Records the time of an attempt's first event, or `None` if it ended without one.
     ///
     /// ```
     /// quillcove_core::relay::replica::ReplicaTable::default().end_reading("i-1", 1, None);
     /// ```
     pub fn end_reading(&mut self, id: &str, number: ReadingNumber, read_at: Option<MonoTime>) {
         if let Some(view) = self.replicas.get_mut(id) {
-            let norm = self.norms.entry(view.record.service.clone()).or_default();
+            let norm = self.reading_norms.entry(view.record.service.clone()).or_default();
             view.reading.end(number, read_at, norm);
         }
     }
 
-    /// Takes how many adapters the engine at an address can take in, and how much all relays use those
-    /// that it holds; tells whether there is room now and was none before.
+    /// Records the number of free adapter slots of the engine at an address, and all relays'
+    /// requests in flight for each adapter that it holds; returns whether slots are free now and
+    /// were not before.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -395,21 +400,22 @@
     pub fn note_spare(
         &mut self,
         address: SocketAddr,
-        spare: Option<u32>,
+        free_slots: Option<u32>,
         fleet_uses: Vec<u32>,
     ) -> bool {
         let id = self.at(address).map(|view| view.record.id.clone());
         let Some(view) = id.and_then(|id| self.replicas.get_mut(&id)) else {
             return false;
         };
-        let had_none = view.spare_places == Some(0);
-        view.spare_places = spare;
+        let had_no_slot = view.free_slots == Some(0);
+        view.free_slots = free_slots;
         view.fleet_uses = fleet_uses;
-        had_none && spare != Some(0)
+        had_no_slot && free_slots != Some(0)
     }
 
-    /// Engines without a place for another adapter where this process has stopped to use one since the
-    /// last call. Their loaders are to hear of it before the next regular beacon.
+    /// Returns the engines without a free adapter slot on which this process has stopped using an
+    /// adapter since the last call. Their loaders are to be notified before the next regular
+    /// heartbeat.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -417,10 +423,10 @@
     /// assert!(ReplicaTable::default().take_freed().is_empty());
     /// ```
     pub fn take_freed(&mut self) -> Vec<ReplicaId> {
-        std::mem::take(&mut self.freed).into_iter().collect()
+        std::mem::take(&mut self.freed_engines).into_iter().collect()
     }
 
-    /// Tells whether [`Self::take_freed`] would give any.
+    /// Tells whether [`Self::take_freed`] would return any engine.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -428,10 +434,11 @@
     /// assert!(!ReplicaTable::default().has_freed());
     /// ```
     pub fn has_freed(&self) -> bool {
-        !self.freed.is_empty()
+        !self.freed_engines.is_empty()
     }
 
-    /// Use of each engine's adapters since the last call; what is not used any more is left out.
+    /// Drops an engine's adapters that this process no longer uses, and returns its use of the
+    /// others since the last call.
     ///
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
@@ -450,7 +457,7 @@
         uses
     }
 
-    /// Drops the adapter from what a replica is taken to hold, after the replica said that it
+    /// Removes an adapter from what a replica is known to hold, after the replica answered that it
     /// does not have it.
     ///
     /// ```
--- a/quillcove_core/src/relay/replica/table/attempts.rs
+++ b/quillcove_core/src/relay/replica/table/attempts.rs
@@ -1,4 +1,4 @@
-//! What attempts at replicas tell of their load and health.
+//! Load and health of replicas as shown by the attempts of this process.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::relay::beacon::{AdapterKey, AdapterUse};
 use crate::relay::replica::AttemptFate;
 
-/// Failures in a row after which a replica is left out for a while.
-const EJECT_AFTER: u32 = 3;
+/// Consecutive failures after which a replica is ejected for a while.
+const EJECT_FAILURES: u32 = 3;
 
-/// First time that a replica is left out; doubles with each further time.
+/// Duration of the first ejection; doubles with each further one.
 const EJECT_TIME: Duration = Duration::from_millis(1000);
 
-/// Most doublings of [`EJECT_TIME`].
-const EJECT_DOUBLINGS: u32 = 3;
+/// Maximum number of doublings of [`EJECT_TIME`].
+const MAX_EJECT_DOUBLINGS: u32 = 3;
 
 impl ReplicaTable {
-    /// Notes that a request is sent.
+    /// Records that a request is sent.
     ///
     /// ```
     /// use std::time::Duration;
@@ -28,21 +28,21 @@
     pub fn begin(&mut self, id: &str, key: Option<&AdapterKey>, now: MonoTime) {
         if let Some(view) = self.replicas.get_mut(id) {
             if view.in_flight == 0 {
-                view.last_heard = now;
+                view.last_received = now;
             }
             view.in_flight += 1;
             view.standing.begin(now);
-            view.sent_since += 1;
+            view.sent_since_report += 1;
             if let Some(key) = key {
                 let fresh = || AdapterUse { key: key.clone(), sent: 0, in_flight: 0 };
-                let used = view.uses.entry(key.clone()).or_insert_with(fresh);
-                used.sent += 1;
-                used.in_flight += 1;
+                let adapter_use = view.uses.entry(key.clone()).or_insert_with(fresh);
+                adapter_use.sent += 1;
+                adapter_use.in_flight += 1;
             }
         }
     }
 
-    /// Notes that bytes came from a replica.
+    /// Records that bytes have been received from a replica.
     ///
     /// ```
     /// use std::time::Duration;
@@ -52,11 +52,11 @@
     /// ```
     pub fn hear(&mut self, id: &str, now: MonoTime) {
         if let Some(view) = self.replicas.get_mut(id) {
-            view.last_heard = now;
+            view.last_received = now;
         }
     }
 
-    /// Notes the end of an attempt; tells whether the replica is left out from now.
+    /// Records the outcome of an attempt; returns whether the replica is ejected from now on.
     ///
     /// ```
     /// use std::time::Duration;
@@ -78,30 +78,30 @@
             return false;
         };
         view.in_flight = view.in_flight.saturating_sub(1);
-        if let Some(used) = key.and_then(|key| view.uses.get_mut(key)) {
-            used.in_flight = used.in_flight.saturating_sub(1);
-            if used.in_flight == 0 && view.spare_places == Some(0) {
-                self.freed.insert(id.to_string());
+        if let Some(adapter_use) = key.and_then(|key| view.uses.get_mut(key)) {
+            adapter_use.in_flight = adapter_use.in_flight.saturating_sub(1);
+            if adapter_use.in_flight == 0 && view.free_slots == Some(0) {
+                self.freed_engines.insert(id.to_string());
             }
         }
         match fate {
             AttemptFate::Answered => {
                 view.failures = 0;
                 view.ejections = 0;
-                view.last_heard = now;
+                view.last_received = now;
                 false
             },
             AttemptFate::Refused => {
-                view.last_heard = now;
+                view.last_received = now;
                 false
             },
             AttemptFate::Abandoned => false,
             AttemptFate::Failed => {
                 view.failures += 1;
-                let is_ejected = view.failures >= EJECT_AFTER;
+                let is_ejected = view.failures >= EJECT_FAILURES;
                 if is_ejected {
                     view.failures = 0;
-                    let doublings = view.ejections.min(EJECT_DOUBLINGS);
+                    let doublings = view.ejections.min(MAX_EJECT_DOUBLINGS);
                     view.ejected_until = now + EJECT_TIME * 2u32.pow(doublings);
                     view.ejections += 1;
                 }
--- a/quillcove_core/src/relay/replica/table/words.rs
+++ b/quillcove_core/src/relay/replica/table/words.rs
@@ -1,4 +1,4 @@
-//! What replicas say of themselves with their answers.
+//! The status that replicas report about themselves in their answers.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use crate::standing::{LeavingSource, StandingChange, UpstreamStanding};
 
 impl ReplicaTable {
-    /// Takes what one start of a replica said of itself with an answer, and gives what became known by it. The
-    /// late answer of an earlier start says nothing of the one that is there now.
+    /// Records what one start of a replica reported about itself in an answer; returns what
+    /// changed. A late answer of an earlier start does not affect the present one.
     ///
     /// ```
     /// use std::time::Duration;
@@ -33,10 +33,10 @@
         spread: Duration,
         now: MonoTime,
     ) -> Option<StandingChange> {
-        self.standing_of(id, born)?.take(notice, spread, now)
+        self.status_mut(id, born)?.take(notice, spread, now)
     }
 
-    /// Takes another process's word that one start of a replica leaves.
+    /// Records another process's report that one start of a replica is draining.
     ///
     /// ```
     /// use std::time::Duration;
@@ -48,12 +48,13 @@
     /// assert!(!table.get("i-1").unwrap().seems_well(Duration::ZERO));
     /// ```
     pub fn note_told_leaving(&mut self, id: &str, born: Option<StartTime>, now: MonoTime) {
-        if let Some(standing) = self.standing_of(id, born) {
-            standing.note_leaving(LeavingSource::Told, now);
+        if let Some(status) = self.status_mut(id, born) {
+            status.note_leaving(LeavingSource::Told, now);
         }
     }
 
-    /// Takes another process's word of the limit of one start of a replica; tells whether it is news.
+    /// Records another process's report of the limit of one start of a replica; returns whether it
+    /// differs from the known one.
     ///
     /// ```
     /// use std::time::Duration;
@@ -74,12 +75,12 @@
         spread: Duration,
         now: MonoTime,
     ) -> bool {
-        let standing = self.standing_of(id, born);
-        standing.is_some_and(|standing| standing.note_told_limit(limit, age, spread, now))
+        let status = self.status_mut(id, born);
+        status.is_some_and(|status| status.note_told_limit(limit, age, spread, now))
     }
 
-    /// Takes a good answer of one start of a replica that names no limit, to a request that was sent then; tells
-    /// whether a limit ends by it.
+    /// Records a successful answer without a limit from one start of a replica to a request sent at
+    /// `sent`; returns whether this ends a limit.
     ///
     /// ```
     /// use std::time::Duration;
@@ -96,12 +97,12 @@
         spread: Duration,
         now: MonoTime,
     ) -> bool {
-        let standing = self.standing_of(id, born);
-        standing.is_some_and(|standing| standing.note_no_limit(sent, spread, now))
+        let status = self.status_mut(id, born);
+        status.is_some_and(|status| status.note_no_limit(sent, spread, now))
     }
 
-    /// Sets the time between two requests of this process to a replica that names a limit; `None` when others send
-    /// what it takes.
+    /// Sets the time between two requests of this process to a replica that announces a limit;
+    /// `None` if only other processes send them.
     ///
     /// ```
     /// use std::time::Duration;
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Notes that a replica is cold until then and bears so many requests a second; tells whether that is news.
+    /// Records that a replica warms up until `until` and accepts this rate of requests; returns
+    /// whether that was unknown.
     ///
     /// ```
     /// use std::time::Duration;
@@ -130,7 +132,8 @@
         view.is_some_and(|view| view.standing.note_cold(rate, until, now))
     }
 
-    /// Sets the time between two requests of this process to a cold replica; `None` when others send what it bears.
+    /// Sets the time between two requests of this process to a replica that warms up; `None` if
+    /// only other processes send them.
     ///
     /// ```
     /// use std::time::Duration;
@@ -144,11 +147,12 @@
         }
     }
 
-    /// The standing of one start of a replica; `None` when another start is there now.
-    fn standing_of(&mut self, id: &str, born: Option<StartTime>) -> Option<&mut UpstreamStanding> {
+    /// Returns the status of one start of a replica for changes; `None` if another start is listed
+    /// now.
+    fn status_mut(&mut self, id: &str, born: Option<StartTime>) -> Option<&mut UpstreamStanding> {
         match self.replicas.get_mut(id) {
             Some(view) => is_same_start(view.record.born, born).then_some(&mut view.standing),
-            None => Some(self.kept.of(id, born)),
+            None => Some(self.unlisted.status_mut(id, born)),
         }
     }
 }
