--- a/quillcove_core/src/relay/replica/recent.rs
+++ b/quillcove_core/src/relay/replica/recent.rs
@@ -4,8 +4,8 @@
 
 use crate::relay::beacon::ReplicaId;
 
-/// Maximum number of replicas; a fleet with 380 restarts a day reaches it in about ten days. With ids of
-/// about 20 bytes the map takes less than half a megabyte.
+/// Maximum number of replicas; a fleet with 380 restarts a day reaches it in about ten days. With
+/// ids of about 20 bytes the map takes less than half a megabyte.
 const MAX_REPLICAS: usize = 4096;
 
 /// A value for each of the most recently inserted replicas.
