--- a/quillcove_core/src/relay/machine/choice.rs
+++ b/quillcove_core/src/relay/machine/choice.rs
@@ -1,4 +1,4 @@
-//! The next step of a request: the replica that takes it, a wait for its adapter, or a refusal.
+//! Chooses the next step of a request: send it to a replica, wait for its adapter to load, or reject it.
 
 use std::time::Duration;
 
@@ -11,64 +11,68 @@
 use crate::relay::policy::{CopyRule, RoutingRule, WaitingRule};
 use crate::relay::reading::ReadingPrompt;
 use crate::relay::replica::ReplicaView;
-use crate::relay::routing::{self, HoldingNeed, RoutingCost, SPREAD_LOAD};
+use crate::relay::routing::{self, COPY_MIN_LOAD, LoadedRequirement, RoutingCost};
 use crate::verdict::{RefusalReason, SOON, WorkRefusal};
 
-/// Time from the arrival of a request at an engine until its first event, when a batch is not
-/// full: reading a common prompt and two steps.
+/// Time from the arrival of a request at an engine to its first event while the batch is not full:
+/// the prefill of a typical prompt and two decoding steps.
 const FIRST_EVENT_TIME: Duration = Duration::from_millis(120);
 
-/// Share of a route's aim within which a request is either on its way or refused, so that a
-/// refused caller still can be served in time when it comes back.
-const DECIDE_SHARE: f64 = 0.2;
+/// Share of a route's target latency within which a request is either sent or rejected, so that a
+/// rejected caller can still be served in time when it retries.
+const EARLY_REJECT_SHARE: f64 = 0.2;
 
-/// Multiple of a route's aim up to which a request that was promised an adapter goes on waiting
-/// when the load comes later than planned.
-const PATIENCE: f64 = 2.0;
+/// Multiple of a route's target latency for which a request keeps waiting when the load of its
+/// adapter takes longer than estimated.
+const LATE_LOAD_FACTOR: f64 = 2.0;
 
-/// Added to the planned time of a load in what callers are told, for the way of the news.
-const NEWS_TIME: Duration = Duration::from_millis(80);
+/// Added to the estimated load time in the retry delay sent to callers: the time until the report of
+/// the finished load reaches this relay.
+const REPORT_DELAY: Duration = Duration::from_millis(80);
 
-/// Time from the start of the process within which all loaders have reported: they hear of it with
-/// the first reading of the list.
-const FIRST_REPORTS: Duration = Duration::from_millis(500);
+/// Time from the start of the process within which all loaders have reported to it: they learn of
+/// it with the first read of the membership list.
+const FIRST_REPORTS_TIME: Duration = Duration::from_millis(500);
 
-/// When a caller is told to come back that another relay can serve at once.
-const ELSEWHERE: Duration = Duration::from_millis(20);
+/// Retry delay for a caller that another relay can serve at once.
+const OTHER_RELAY_DELAY: Duration = Duration::from_millis(20);
 
-/// Share of its remaining time within which a caller is told to come back; callers wait for no
-/// longer than a third.
-const RETURN_SHARE: f64 = 0.33;
+/// Upper bound of the retry delay, as a share of the caller's remaining time: callers do not wait
+/// longer than a third of it before they retry.
+const RETRY_DELAY_SHARE: f64 = 0.33;
 
-/// Requests of all relays for an adapter that are in flight at an engine from which on a loaded engine
-/// is worth another copy of it elsewhere; fewer would not relieve it.
-const COPY_USES: u32 = 4;
+/// Requests for one adapter in flight at an engine, from all relays, at which a loaded engine
+/// justifies another copy of the adapter. With fewer, a copy would not relieve the engine.
+const COPY_MIN_REQUESTS: u32 = 4;
 
-/// Time for which another copy of a held adapter is wanted after a request that showed the need.
-const COPY_LIFETIME: Duration = Duration::from_secs(1);
+/// Time for which another copy of a loaded adapter stays wanted after the request that showed the
+/// need.
+const COPY_REQUEST_LIFETIME: Duration = Duration::from_secs(1);
 
-/// Time after which a request that waits for an adapter looks whether its ask has to be repeated.
-const ASK_CHECK: Duration = Duration::from_millis(80);
+/// Interval at which a request that waits for an adapter checks whether its load request has to be
+/// sent again.
+const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(80);
 
-/// Where an adapter that a request lacks is to be loaded.
+/// Where a missing adapter is to be loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LoadPlace {
-    /// At the engine that holds it for the whole fleet, where engines are divided into cells; else in the one cell.
+enum LoadTarget {
+    /// At the engine that holds the adapter for all relays if engines are divided into cells; otherwise in the only
+    /// cell.
     Home,
-    /// In this relay's cell, so that so many of its engines hold it.
+    /// In this relay's cell, until this many of its engines hold the adapter.
     Cell(usize),
 }
 
 impl RelayMachine {
-    /// The least version of an adapter on which a request may begin now.
-    fn least_version(&self, key: &AdapterKey, now: MonoTime) -> AdapterVersion {
+    /// Returns the lowest version of an adapter on which a request may start now.
+    fn min_version(&self, key: &AdapterKey, now: MonoTime) -> AdapterVersion {
         match self.versions.get(key) {
             Some((version, strict_from)) if now >= *strict_from => *version,
             _ => 0,
         }
     }
 
-    /// Chooses the next step of a request; replicas in `tried` are left out.
+    /// Chooses the next step of a request, excluding the replicas in `tried`.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -135,24 +139,24 @@
         if open.is_empty() {
             return RelayChoice::Refuse(WorkRefusal::overloaded());
         }
-        let pool = well_ones(&open, now);
+        let candidates = prefer_healthy(&open, now);
         let need = self.need_of(query, now);
         let holds = |view: &&&ReplicaView| need.is_met_by(view, now);
-        let mut holders: Vec<&ReplicaView> = pool.iter().filter(holds).copied().collect();
+        let mut holders: Vec<&ReplicaView> = candidates.iter().filter(holds).copied().collect();
         if holders.is_empty() {
             holders = self.far_holders(query, now);
         }
-        let is_fresh = |view: &&&ReplicaView| !tried.contains(&view.record.id);
-        let mut fresh: Vec<&ReplicaView> = holders.iter().filter(is_fresh).copied().collect();
-        if fresh.is_empty() && !holders.is_empty() {
-            // A replica whose entry has only lapsed is better than a refusal.
-            let doubted = open.iter().filter(|view| view.is_doubted());
-            fresh = doubted.filter(holds).filter(is_fresh).copied().collect();
+        let is_untried = |view: &&&ReplicaView| !tried.contains(&view.record.id);
+        let mut untried: Vec<&ReplicaView> = holders.iter().filter(is_untried).copied().collect();
+        if untried.is_empty() && !holders.is_empty() {
+            // A replica whose entry is merely unconfirmed is better than a rejection.
+            let unconfirmed = open.iter().filter(|view| view.is_doubted());
+            untried = unconfirmed.filter(holds).filter(is_untried).copied().collect();
         }
-        let current = self.newest_of(query, &fresh, now);
+        let current = self.prefer_newest(query, &untried, now);
         let norm = self.table.norm(&query.service);
         let cost =
-            RoutingCost { prompt: self.prompt_of(query), norm: &norm, hall: &self.rules.hall };
+            RoutingCost { prompt: self.routing_prompt(query), norm: &norm, hall: &self.rules.hall };
         let sampled = routing::sample(&current, self.relays, draw);
         let overdue = current.iter().find(|view| view.standing.is_limit_overdue(now)).copied();
         match overdue.or_else(|| routing::choose(&sampled, &cost, now, draw)) {
@@ -162,24 +166,26 @@
                     chosen_at: now,
                     ..AttemptOrder::to(&view.record)
                 };
-                self.refresh_copies(query, &order.replica, now);
+                self.request_copy(query, &order.replica, now);
                 RelayChoice::Send(order)
             },
             None if holders.is_empty() && self.is_load_fatal(query, now) => {
                 refuse(RefusalReason::EndsUpstreams, Some(FORGET_TIME))
             },
-            None if query.adapter.is_some() && holders.is_empty() => self.await_load(query, now),
+            None if query.adapter.is_some() && holders.is_empty() => {
+                self.wait_or_refuse(query, now)
+            },
             None => refuse(RefusalReason::NoUpstream, Some(SOON)),
         }
     }
 
-    /// Tells whether engines end when they load what a request needs.
+    /// Returns whether loading the request's adapter makes engines exit.
     fn is_load_fatal(&self, query: &RelayQuery, now: MonoTime) -> bool {
         query.adapter.as_ref().is_some_and(|key| self.load_ends_engines(key, now))
     }
 
-    /// The prompt by which a request's replica is chosen.
-    fn prompt_of(&self, query: &RelayQuery) -> Option<ReadingPrompt> {
+    /// Returns the prompt that the cost of replicas depends on; `None` under a rule that ignores prompts.
+    fn routing_prompt(&self, query: &RelayQuery) -> Option<ReadingPrompt> {
         match self.rules.policy.routing {
             RoutingRule::Reading => {
                 let rank = query.rank();
@@ -189,14 +195,15 @@
         }
     }
 
-    /// Connections that a replica of a service accepts from all relays together.
+    /// Returns the number of connections that a replica of a service accepts from all relays together.
     fn connection_limit(&self, service: &str) -> usize {
         let record = self.sheet.as_ref().and_then(|sheet| sheet.service(service));
         record.map_or(usize::MAX, |service| service.connection_limit)
     }
 
-    /// Connections that this relay may have to a replica: its even share of what the replica accepts, less a part
-    /// for relays that have not been heard yet. Where there are more relays than connections, some have one each.
+    /// Returns the number of connections that this relay may have to a replica: an even share of what the replica
+    /// accepts, with one share left for relays that are not known yet. With more relays than connections, only the
+    /// relays that rank first for the replica have one each.
     fn connection_share(&self, limit: usize, view: &ReplicaView) -> usize {
         match limit / (self.relays + 1) {
             0 => usize::from(self.peers.rank(&view.record.id) < limit),
@@ -204,8 +211,8 @@
         }
     }
 
-    /// Of several holders of an adapter, those that have its newest version if any do.
-    fn newest_of<'a>(
+    /// Narrows the holders of an adapter to those with its newest version, if there are any.
+    fn prefer_newest<'a>(
         &self,
         query: &RelayQuery,
         holders: &[&'a ReplicaView],
@@ -215,7 +222,7 @@
         let Some((key, version)) = newest else {
             return holders.to_vec();
         };
-        let need = HoldingNeed::Adapter(key, version);
+        let need = LoadedRequirement::Adapter(key, version);
         let current: Vec<&ReplicaView> =
             holders.iter().filter(|view| need.is_met_by(view, now)).copied().collect();
         match current.is_empty() {
@@ -224,9 +231,9 @@
         }
     }
 
-    /// Asks for another copy of an adapter when the engine that takes the request is loaded, or
-    /// holds an older version than the newest.
-    fn refresh_copies(&mut self, query: &RelayQuery, chosen: &str, now: MonoTime) {
+    /// Requests another copy of the adapter if the chosen engine is loaded or holds an older version
+    /// than the newest.
+    fn request_copy(&mut self, query: &RelayQuery, chosen: &str, now: MonoTime) {
         let Some(key) = &query.adapter else {
             return;
         };
@@ -235,31 +242,32 @@
         };
         let newest = self.newest(key).unwrap_or(0);
         let is_outdated = view.version_of(key, now).is_some_and(|held| held < newest);
-        // Another copy is there sooner than this engine is done with what it has to read.
+        // Another copy would be loaded before this engine has worked off its prefill backlog.
         let backlog = view.reading.backlog(&self.table.norm(&query.service));
-        let is_slow = match self.rules.policy.copies {
-            // What is used so much at its home is worth a copy in this relay's cell.
+        let is_busy = match self.rules.policy.copies {
+            // An adapter in such demand at its home engine justifies a copy in this relay's cell.
             _ if !view.is_near => true,
             CopyRule::Backlog => backlog >= self.demand.load_time(),
-            CopyRule::Places => view.load(now) >= SPREAD_LOAD,
+            CopyRule::Places => view.load(now) >= COPY_MIN_LOAD,
         };
-        let is_crowded = is_slow && view.fleet_uses_of(key, now) >= COPY_USES;
+        let is_crowded = is_busy && view.fleet_uses_of(key, now) >= COPY_MIN_REQUESTS;
         if is_outdated || is_crowded {
             let need = self.need_of(query, now);
             let engines = self.near_engines(&query.service);
             let holders = engines.filter(|view| need.is_met_by(view, now)).count();
             let wanted = if is_outdated { 1 } else { holders + 1 };
-            self.ask_for(query, now + COPY_LIFETIME, LoadPlace::Cell(wanted), now);
+            self.request_load(query, now + COPY_REQUEST_LIFETIME, LoadTarget::Cell(wanted), now);
         }
     }
 
-    /// Notes that a request lacks its adapter, and asks for what is worth most; gives the time at
-    /// which the adapter will be there. `useful_until` is when the request gives it up.
-    fn ask_for(
+    /// Records that a request's adapter is missing, sends the most valuable load requests, and returns
+    /// the time at which the adapter is expected to be loaded. The load is of no use to the request
+    /// after `useful_until`. Returns `None` if the request names no adapter or its load makes engines exit.
+    fn request_load(
         &mut self,
         query: &RelayQuery,
         useful_until: MonoTime,
-        place: LoadPlace,
+        target: LoadTarget,
         now: MonoTime,
     ) -> Option<MonoTime> {
         let key = query.adapter.as_ref()?;
@@ -267,16 +275,16 @@
             return None;
         }
         let version = self.newest(key);
-        let (holders, home) = match place {
-            LoadPlace::Home => (1, self.home_of(&query.service, key, now)),
-            LoadPlace::Cell(holders) => (holders, None),
+        let (holders, home) = match target {
+            LoadTarget::Home => (1, self.home_of(&query.service, key, now)),
+            LoadTarget::Cell(holders) => (holders, None),
         };
         let service = &query.service;
         let home = home.as_ref();
-        let lacked = LackedAdapter { key, service, version, useful_until, holders, home };
+        let missing = LackedAdapter { key, service, version, useful_until, holders, home };
         let is_new = query.looks == 0;
-        self.demand.want(&lacked, is_new, now);
-        // Later looks ask for nothing that reports and ticks do not.
+        self.demand.want(&missing, is_new, now);
+        // On later attempts to choose, reports and ticks have already sent the load requests.
         if is_new {
             self.pump(now);
         }
@@ -284,8 +292,9 @@
         Some(self.model_ready_at(&query.service, &key.model, now) + load_wait)
     }
 
-    /// When an engine of a service will hold a base model. Before the first reports came, the engines
-    /// may have restarted as this process did, and then load it from their hosts' disks.
+    /// Returns when an engine of a service will have a base model loaded. Before the first reports
+    /// arrive, the engines may have restarted together with this process and then load the model from
+    /// the disks of their hosts.
     fn model_ready_at(&self, service: &str, model: &str, now: MonoTime) -> MonoTime {
         let record = self.sheet.as_ref().and_then(|sheet| sheet.service(service));
         let models = record.and_then(|service| service.engine.as_ref()).map(|it| &it.models);
@@ -297,12 +306,12 @@
         let ready = engines.filter_map(|view| view.model_ready_at(model, now)).min();
         match ready {
             Some(ready) => ready,
-            None if now < FIRST_REPORTS => now + model.disk_load_time,
+            None if now < FIRST_REPORTS_TIME => now + model.disk_load_time,
             None => now,
         }
     }
 
-    /// Sends the asks for which the weight store has room.
+    /// Sends as many load requests as the weight store has capacity for.
     pub(super) fn pump(&mut self, now: MonoTime) {
         if !self.demand.has_wanted() {
             return;
@@ -324,51 +333,57 @@
             let norm = self.table.norm(&service.name);
             let is_home = |view: &&ReplicaView| view.record.service == service.name;
             let homes = homes.iter().copied().filter(is_home).collect();
-            let views = unlimited_first(ready.collect());
+            let views = prefer_unlimited(ready.collect());
             choices.push(EngineChoice { service: &service.name, engine, views, homes, norm });
         }
         self.demand.pump(&choices, self.rules.policy.placement, now);
     }
 
-    /// Loads on their way over the whole site, as the loaders report them.
+    /// Returns the number of loads in progress on the whole site, as reported by the loaders.
     pub(super) fn incoming(&self, now: MonoTime) -> usize {
         let reports = self.table.all().filter_map(|view| view.report(now));
         reports.map(|report| report.incoming.len()).sum()
     }
 
-    pub(super) fn need_of<'a>(&self, query: &'a RelayQuery, now: MonoTime) -> HoldingNeed<'a> {
+    /// Returns what a replica must have loaded to take a request.
+    pub(super) fn need_of<'a>(
+        &self,
+        query: &'a RelayQuery,
+        now: MonoTime,
+    ) -> LoadedRequirement<'a> {
         match (&query.adapter, &query.model) {
-            (Some(key), _) => HoldingNeed::Adapter(key, self.least_version(key, now)),
-            (None, Some(model)) => HoldingNeed::Model(model),
-            (None, None) => HoldingNeed::Nothing,
+            (Some(key), _) => LoadedRequirement::Adapter(key, self.min_version(key, now)),
+            (None, Some(model)) => LoadedRequirement::Model(model),
+            (None, None) => LoadedRequirement::Nothing,
         }
     }
 
-    /// A request whose adapter is in no engine: waits when the adapter will be there in time, and
-    /// is refused at once, with the time at which to come back, when it will not.
-    fn await_load(&mut self, query: &RelayQuery, now: MonoTime) -> RelayChoice {
+    /// Decides on a request whose adapter no engine holds: waits if the adapter will be loaded in time,
+    /// otherwise rejects the request at once with a retry delay.
+    fn wait_or_refuse(&mut self, query: &RelayQuery, now: MonoTime) -> RelayChoice {
         match self.rules.policy.waiting {
             WaitingRule::Returned if query.is_return() => self.await_while_servable(query, now),
             WaitingRule::Servable => self.await_while_servable(query, now),
-            WaitingRule::Returned | WaitingRule::Aim => self.await_within_aim(query, now),
+            WaitingRule::Returned | WaitingRule::Aim => self.await_within_target(query, now),
         }
     }
 
-    /// Waits as long as the adapter and then the first event come before the caller leaves; refuses
-    /// at once what can't be served by then.
+    /// Waits as long as the adapter can be loaded and the first event sent before the caller leaves;
+    /// otherwise rejects the request at once.
     fn await_while_servable(&mut self, query: &RelayQuery, now: MonoTime) -> RelayChoice {
-        let leaves = query.leaves();
-        let ready_at = self.ask_for(query, leaves, LoadPlace::Home, now);
-        let reading = self.least_reading(query);
-        let is_servable = ready_at.is_some_and(|at| at + reading <= leaves);
-        if is_servable && (self.hears_engines(&query.service, now) || now < FIRST_REPORTS) {
-            return RelayChoice::Wait((now + ASK_CHECK).min(leaves));
+        let abandon_at = query.leaves();
+        let ready_at = self.request_load(query, abandon_at, LoadTarget::Home, now);
+        let reading = self.shortest_reading_time(query);
+        let is_servable = ready_at.is_some_and(|at| at + reading <= abandon_at);
+        if is_servable && (self.has_engine_reports(&query.service, now) || now < FIRST_REPORTS_TIME)
+        {
+            return RelayChoice::Wait((now + LOAD_CHECK_INTERVAL).min(abandon_at));
         }
         self.refuse_unready(query, ready_at, now)
     }
 
-    /// Time until the first event of a request at the engine that would be soonest.
-    fn least_reading(&self, query: &RelayQuery) -> Duration {
+    /// Returns the shortest time to a request's first event over the engines of this relay's cell.
+    fn shortest_reading_time(&self, query: &RelayQuery) -> Duration {
         let rank = query.rank();
         let prompt = ReadingPrompt { tokens: query.prompt_tokens.unwrap_or(0), rank };
         let norm = self.table.norm(&query.service);
@@ -377,54 +392,59 @@
         times.min().unwrap_or(Duration::ZERO)
     }
 
-    /// Waits for an adapter that comes within the aim; beyond it only when it was missed on the way.
-    fn await_within_aim(&mut self, query: &RelayQuery, now: MonoTime) -> RelayChoice {
-        let aim = query.route.aim;
-        let decide_by = query.received + aim.mul_f64(DECIDE_SHARE);
-        let give_up = (query.received + aim.mul_f64(PATIENCE)).min(query.deadline);
-        let ready_at = self.ask_for(query, give_up, LoadPlace::Home, now);
-        let is_in_time = ready_at.is_some_and(|at| at + FIRST_EVENT_TIME <= query.received + aim);
+    /// Waits for an adapter that will be loaded within the target latency. Waits longer only if the load
+    /// became late after the time for an early rejection had passed.
+    fn await_within_target(&mut self, query: &RelayQuery, now: MonoTime) -> RelayChoice {
+        let target_latency = query.route.aim;
+        let decide_by = query.received + target_latency.mul_f64(EARLY_REJECT_SHARE);
+        let give_up =
+            (query.received + target_latency.mul_f64(LATE_LOAD_FACTOR)).min(query.deadline);
+        let ready_at = self.request_load(query, give_up, LoadTarget::Home, now);
+        let is_in_time =
+            ready_at.is_some_and(|at| at + FIRST_EVENT_TIME <= query.received + target_latency);
         if is_in_time {
-            return RelayChoice::Wait((now + ASK_CHECK).min(give_up));
+            return RelayChoice::Wait((now + LOAD_CHECK_INTERVAL).min(give_up));
         }
-        // Once a request has been held beyond the time for a useful refusal, a late answer is
+        // Once a request has been held beyond the time for a useful rejection, a late answer is
         // worth more to its caller than none.
         if now > decide_by && now < give_up {
-            return RelayChoice::Wait((now + ASK_CHECK).min(give_up));
+            return RelayChoice::Wait((now + LOAD_CHECK_INTERVAL).min(give_up));
         }
         self.refuse_unready(query, ready_at, now)
     }
 
-    /// Refuses a request whose adapter comes too late, and tells when it will be there.
+    /// Rejects a request whose adapter will be loaded too late; the retry delay lasts until it is loaded.
     fn refuse_unready(
         &mut self,
         query: &RelayQuery,
         ready_at: Option<MonoTime>,
         now: MonoTime,
     ) -> RelayChoice {
-        let aim = query.route.aim;
-        let come_back = match self.hears_engines(&query.service, now) || now < FIRST_REPORTS {
-            true => ready_at.map_or(SOON, |at| at.saturating_sub(now) + NEWS_TIME),
-            // This relay is cut off from the loaders; the caller's next try reaches another one.
-            false => ELSEWHERE,
-        };
-        let come_back = come_back.min((query.deadline.saturating_sub(now)).mul_f64(RETURN_SHARE));
-        self.ask_for(query, now + come_back + aim, LoadPlace::Home, now);
+        let target_latency = query.route.aim;
+        let retry_after =
+            match self.has_engine_reports(&query.service, now) || now < FIRST_REPORTS_TIME {
+                true => ready_at.map_or(SOON, |at| at.saturating_sub(now) + REPORT_DELAY),
+                // This relay has no contact with the loaders; the caller's retry reaches another relay.
+                false => OTHER_RELAY_DELAY,
+            };
+        let retry_after =
+            retry_after.min((query.deadline.saturating_sub(now)).mul_f64(RETRY_DELAY_SHARE));
+        self.request_load(query, now + retry_after + target_latency, LoadTarget::Home, now);
         if let Some(key) = &query.adapter {
-            self.promises.tell(key, now + come_back);
+            self.promises.tell(key, now + retry_after);
         }
-        refuse(RefusalReason::DeadlineTooShort, Some(come_back))
+        refuse(RefusalReason::DeadlineTooShort, Some(retry_after))
     }
 
-    /// Tells whether the loader of any engine of a service is heard.
-    fn hears_engines(&self, service: &str, now: MonoTime) -> bool {
+    /// Returns whether the loader of any engine of a service has reported recently.
+    fn has_engine_reports(&self, service: &str, now: MonoTime) -> bool {
         self.ready_engines(service).any(|view| view.report(now).is_some())
     }
 }
 
-/// Engines that name no limit; all of them when each names one. What is loaded where few requests may go is used
-/// by few.
-fn unlimited_first(ready: Vec<&ReplicaView>) -> Vec<&ReplicaView> {
+/// Returns the engines that have announced no rate limit, or all of them if each has. An adapter on an engine with
+/// a rate limit can serve only few requests.
+fn prefer_unlimited(ready: Vec<&ReplicaView>) -> Vec<&ReplicaView> {
     let is_unlimited = |view: &&ReplicaView| view.standing.limit().is_none();
     let unlimited: Vec<&ReplicaView> =
         ready.iter().filter(|view| is_unlimited(view)).copied().collect();
@@ -434,13 +454,13 @@
     }
 }
 
-/// Replicas that seem to work; all of them when that would leave less than half, because then the
-/// fault may be on this side.
-fn well_ones<'a>(ready: &[&'a ReplicaView], now: MonoTime) -> Vec<&'a ReplicaView> {
-    let well: Vec<&ReplicaView> =
+/// Returns the replicas that seem healthy, or all of them if these are less than half, because then the
+/// fault may be in this relay.
+fn prefer_healthy<'a>(ready: &[&'a ReplicaView], now: MonoTime) -> Vec<&'a ReplicaView> {
+    let healthy: Vec<&ReplicaView> =
         ready.iter().filter(|view| view.seems_well(now)).copied().collect();
-    match well.len() * 2 < ready.len() {
+    match healthy.len() * 2 < ready.len() {
         true => ready.to_vec(),
-        false => well,
+        false => healthy,
     }
 }
--- a/quillcove_core/src/relay/routing.rs
+++ b/quillcove_core/src/relay/routing.rs
@@ -1,8 +1,8 @@
-//! Choice of the replica for one attempt.
+//! Chooses the replica for one attempt by cost.
 //!
-//! An adapter that sits in one engine has its prompt parts there too, so requests of one adapter
-//! need no further affinity. Between several holders the less loaded one goes first; a hop to
-//! another hall counts as a share of a batch.
+//! The prompt prefixes of an adapter are cached in the engine that holds it, so the requests of one
+//! adapter need no further affinity. Of several holders the one with the lowest cost is chosen; a hop
+//! to another hall adds a fixed cost.
 
 use std::time::Duration;
 
@@ -12,92 +12,93 @@
 use crate::ids::{AdapterVersion, ModelName, MonoTime};
 use crate::rendezvous;
 
-/// Load, in shares of a replica's places, that a hop to another hall is worth. Halls are a
-/// millisecond apart, which is the step time that a tenth of a batch adds.
-const FAR_PENALTY: f64 = 0.1;
+/// Cost of a hop to another hall for plain calls, as a share of a replica's request slots. Halls are
+/// a millisecond apart, which is the step time that a tenth of a batch adds.
+const FAR_LOAD_COST: f64 = 0.1;
 
-/// Time to a first event that a hop to another hall is worth. Halls are a millisecond or two apart,
-/// and what crosses them is paid for.
-const FAR_TIME: Duration = Duration::from_millis(20);
+/// Cost of a hop to another hall for prompts, as time to the first event. Halls are a millisecond or
+/// two apart, and traffic between them is charged.
+const FAR_TIME_COST: Duration = Duration::from_millis(20);
 
-/// Time to a first event that an engine's last free place is worth: a full batch makes every step
-/// of the requests in it longer, and the next request waits for one of them to end.
-const FULL_TIME: Duration = Duration::from_millis(400);
+/// Cost of a fully occupied engine, as time to the first event: a full batch lengthens every step of
+/// the requests in it, and the next request waits for one of them to end.
+const FULL_TIME_COST: Duration = Duration::from_millis(400);
 
-/// Load of an engine at which another copy of its adapter is asked for, in shares of its places.
-pub const SPREAD_LOAD: f64 = 0.7;
+/// Load of an engine at which another copy of its adapter is requested, as a share of its request slots.
+pub const COPY_MIN_LOAD: f64 = 0.7;
 
-/// What a replica must hold to take a request.
+/// What a replica must have loaded to take a request.
 #[derive(Clone, Copy, Debug)]
-pub enum HoldingNeed<'a> {
+pub enum LoadedRequirement<'a> {
     /// Nothing.
     Nothing,
     /// A base model.
     Model(&'a ModelName),
-    /// An adapter, at least in this version.
+    /// An adapter, in this version or a newer one.
     Adapter(&'a AdapterKey, AdapterVersion),
 }
 
-impl HoldingNeed<'_> {
-    /// Tells whether a replica holds it.
+impl LoadedRequirement<'_> {
+    /// Returns whether a replica meets the requirement.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::relay::replica::{ReplicaTable, example_record};
-    /// use quillcove_core::relay::routing::HoldingNeed;
+    /// use quillcove_core::relay::routing::LoadedRequirement;
     ///
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
     /// let view = table.get("i-1").unwrap();
-    /// assert!(HoldingNeed::Model(&"m".to_string()).is_met_by(view, Duration::ZERO));
+    /// assert!(LoadedRequirement::Model(&"m".to_string()).is_met_by(view, Duration::ZERO));
     /// ```
     pub fn is_met_by(&self, view: &ReplicaView, now: MonoTime) -> bool {
         match self {
             Self::Nothing => true,
             Self::Model(model) => view.models(now).contains(model),
-            Self::Adapter(key, least) => {
-                view.version_of(key, now).is_some_and(|version| version >= *least)
+            Self::Adapter(key, min_version) => {
+                view.version_of(key, now).is_some_and(|version| version >= *min_version)
             },
         }
     }
 }
 
-/// What a choice weighs.
+/// Inputs to the cost of a replica for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingCost<'a> {
     /// The request's prompt; `None` for plain calls.
     pub prompt: Option<ReadingPrompt>,
-    /// What the service's engines have in common.
+    /// Average prefill figures of the service's engines, used where an engine's own are not known well.
     pub norm: &'a ReadingNorm,
     /// Hall of this process.
     pub hall: &'a str,
 }
 
 impl RoutingCost<'_> {
-    /// The cost of a replica, in seconds.
+    /// Returns the cost of a replica: in seconds for a prompt, as a share of its request slots for a plain call.
     fn of(&self, view: &ReplicaView, now: MonoTime) -> f64 {
         let is_far = view.record.hall != self.hall;
         match self.prompt {
-            None => view.load(now) + if is_far { FAR_PENALTY } else { 0.0 },
+            None => view.load(now) + if is_far { FAR_LOAD_COST } else { 0.0 },
             Some(prompt) => {
-                let reading = view.reading.time_to_read(prompt, self.norm).as_secs_f64();
-                let far = if is_far { FAR_TIME.as_secs_f64() } else { 0.0 };
-                reading + view.share_of_places(now) * FULL_TIME.as_secs_f64() + far
+                let reading_time = view.reading.time_to_read(prompt, self.norm).as_secs_f64();
+                let far_time = if is_far { FAR_TIME_COST.as_secs_f64() } else { 0.0 };
+                reading_time + view.share_of_places(now) * FULL_TIME_COST.as_secs_f64() + far_time
             },
         }
     }
 }
 
-/// Relays from which on each chooses among a few candidates only.
-const MANY_RELAYS: usize = 16;
+/// Number of relays from which on each chooses among a random sample of the candidates.
+const SAMPLING_MIN_RELAYS: usize = 16;
 
-/// Candidates among which each of many relays chooses.
-const SAMPLE: usize = 3;
+/// Number of candidates in the sample.
+const SAMPLE_SIZE: usize = 3;
 
-/// The candidates among which one of so many relays chooses. What relays know of an engine's queue is
-/// some hundred milliseconds old; if each of many chose the best of all, they would all choose the same
-/// one in that time. Choosing the better of a few drawn ones spreads them (Mitzenmacher, 2001, "The
-/// power of two choices in randomized load balancing").
+/// Returns the candidates among which a relay chooses: a random sample if there are many relays and
+/// candidates, otherwise all. A relay's view of an engine's queue is some hundred milliseconds old; if
+/// each of many relays chose the best of all candidates, all would choose the same one within that time.
+/// Choosing the best of a small sample spreads them (Mitzenmacher, 2001, "The power of two choices in
+/// randomized load balancing").
 ///
 /// ```
 /// use quillcove_core::relay::routing::sample;
@@ -110,16 +111,15 @@
     draw: u64,
 ) -> Vec<&'a ReplicaView> {
     let mut sampled = candidates.to_vec();
-    if relays >= MANY_RELAYS && sampled.len() > SAMPLE {
+    if relays >= SAMPLING_MIN_RELAYS && sampled.len() > SAMPLE_SIZE {
         let key = draw.to_string();
         sampled.sort_by_cached_key(|view| rendezvous::weight(&key, &view.record.id));
-        sampled.truncate(SAMPLE);
+        sampled.truncate(SAMPLE_SIZE);
     }
     sampled
 }
 
-/// The best of several replicas: the one that answers soonest, near ones first; the draw tells equals
-/// apart.
+/// Returns the replica with the lowest cost, `None` without candidates. Ties are broken by `draw`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -137,9 +137,9 @@
     draw: u64,
 ) -> Option<&'a ReplicaView> {
     let key = draw.to_string();
-    let tie = |view: &ReplicaView| rendezvous::weight(&key, &view.record.id);
+    let tie_break = |view: &ReplicaView| rendezvous::weight(&key, &view.record.id);
     candidates.iter().copied().min_by(|a, b| {
         let by_cost = cost.of(a, now).total_cmp(&cost.of(b, now));
-        by_cost.then_with(|| tie(a).cmp(&tie(b)))
+        by_cost.then_with(|| tie_break(a).cmp(&tie_break(b)))
     })
 }
