--- a/quillcove_core/src/relay/machine/attempts.rs
+++ b/quillcove_core/src/relay/machine/attempts.rs
@@ -1,4 +1,4 @@
-//! What attempts at replicas tell of them.
+//! Records the progress and outcome of attempts in the state of the replicas.
 
 use super::RelayMachine;
 use crate::ids::MonoTime;
@@ -7,7 +7,7 @@
 use crate::relay::replica::AttemptFate;
 
 impl RelayMachine {
-    /// Notes that a request is sent to a replica.
+    /// Records that a request is sent to a replica.
     ///
     /// ```
     /// use std::time::Duration;
@@ -19,7 +19,7 @@
         self.table.begin(replica, key, now);
     }
 
-    /// Notes that bytes came from a replica.
+    /// Records that bytes were received from a replica.
     ///
     /// ```
     /// use std::time::Duration;
@@ -31,7 +31,7 @@
         self.table.hear(replica, now);
     }
 
-    /// Notes that an attempt has its first event at this time, or has ended without one.
+    /// Records the time of an attempt's first event, or `None` if it ended without one.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -42,7 +42,7 @@
         self.table.end_reading(replica, number, read_at);
     }
 
-    /// Notes the end of an attempt; tells whether the replica is left out from now.
+    /// Records the outcome of an attempt; returns whether the replica is ejected from now on.
     ///
     /// ```
     /// use std::time::Duration;
@@ -62,7 +62,7 @@
         self.table.end(replica, key, fate, now)
     }
 
-    /// Notes that a replica turned out not to be the one that was meant.
+    /// Removes a replica that no longer runs: another one answered at its address, or it has restarted.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -75,7 +75,7 @@
         self.demand.forget_engine(replica);
     }
 
-    /// Notes that a replica does not hold an adapter that it was taken to hold.
+    /// Records that a replica does not hold an adapter that it was believed to hold.
     ///
     /// ```
     /// use quillcove_core::relay::beacon::AdapterKey;
--- a/quillcove_core/src/relay/machine/doubt.rs
+++ b/quillcove_core/src/relay/machine/doubt.rs
@@ -1,4 +1,5 @@
-//! What is missing in the store and may come back: entries that lapse while it is away, and what an older copy lacks.
+//! Tracks unconfirmed data: entries that expired while the store was unreachable, and data that is missing from a store
+//! restored from an older copy. Both are kept for a grace period, as they may be written again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,78 +9,81 @@
 use crate::relay::beacon::ReplicaId;
 use crate::relay::published::LapsedEntry;
 
-/// Time after the store's return in which entries that lapsed meanwhile, or are missing in an older copy of it, may
-/// come back, and in which the operator writes again what the copy lacks.
-const LAPSE_GRACE: Duration = Duration::from_millis(2200);
+/// Time after the store is reachable again, or was restored from an older copy, within which replicas may renew their
+/// expired or missing entries and the operator writes again what the copy lacks.
+const STORE_RETURN_GRACE: Duration = Duration::from_millis(2200);
 
-/// What is missing, and since when the store is back.
+/// Unconfirmed replicas and halls, and the state of the store that decides how long they are kept.
 #[derive(Clone, Debug, Default)]
-pub(super) struct StoreDoubt {
-    /// Replicas whose entries are missing, and when they are given up.
+pub(super) struct UnconfirmedState {
+    /// Replicas whose entries are missing, and when they are removed.
     replicas: BTreeMap<ReplicaId, MonoTime>,
-    /// Halls that were to be emptied and that an older copy does not name, and when they are in use.
+    /// Evacuated halls that an older copy does not name, and when they are taken to be in use again.
     halls: BTreeMap<HallName, MonoTime>,
-    /// Latest era that is known; `None` before anything was read.
+    /// Latest known era of the store; `None` before the first read.
     era: Option<StoreEra>,
+    /// When the store last became reachable again or entered a later era.
     returned: Option<MonoTime>,
-    is_away: bool,
+    is_unreachable: bool,
 }
 
-impl StoreDoubt {
+impl UnconfirmedState {
     fn enter_era(&mut self, era: StoreEra, now: MonoTime) -> Option<StoreEra> {
-        let before = self.era;
-        self.era = before.max(Some(era));
-        let left = before.filter(|known| *known < era)?;
+        let previous = self.era;
+        self.era = previous.max(Some(era));
+        let earlier = previous.filter(|known| *known < era)?;
         self.returned = Some(now);
-        Some(left)
+        Some(earlier)
     }
 
     fn note_store(&mut self, answers: bool, now: MonoTime) -> bool {
-        let is_changed = self.is_away == answers;
+        let is_changed = self.is_unreachable == answers;
         if is_changed && answers {
             self.returned = Some(now);
         }
-        self.is_away = !answers;
+        self.is_unreachable = !answers;
         is_changed
     }
 
-    /// Until when what is missing now may come back; `None` when it is gone.
+    /// Returns until when data that is missing now may be written again; `None` if its absence is final.
     pub(super) fn end(&self, now: MonoTime) -> Option<MonoTime> {
         let since = match self.returned {
-            Some(back) if now.saturating_sub(back) < LAPSE_GRACE => back,
-            back if self.is_away => back.unwrap_or(now),
+            Some(back) if now.saturating_sub(back) < STORE_RETURN_GRACE => back,
+            back if self.is_unreachable => back.unwrap_or(now),
             _ => return None,
         };
-        Some(since + LAPSE_GRACE)
+        Some(since + STORE_RETURN_GRACE)
     }
 
+    /// Records that a hall's evacuation is unconfirmed until the given time.
     pub(super) fn note_hall(&mut self, hall: HallName, until: MonoTime) {
         self.halls.entry(hall).or_insert(until);
     }
 
+    /// Removes a hall, as its state has been confirmed or replaced.
     pub(super) fn end_hall(&mut self, hall: &str) {
         self.halls.remove(hall);
     }
 
-    /// Ends the doubt about a replica; tells whether there was one.
+    /// Removes a replica; returns whether it was unconfirmed.
     pub(super) fn end_replica(&mut self, id: &str) -> bool {
         self.replicas.remove(id).is_some()
     }
 
-    /// A replica's missing entry, if it is missing.
+    /// Returns a replica's missing entry; `None` if the replica is not unconfirmed.
     pub(super) fn entry(&self, id: &str, now: MonoTime) -> Option<LapsedEntry> {
         let left = self.replicas.get(id)?.saturating_sub(now);
         Some(LapsedEntry { replica: id.to_string(), left })
     }
 
-    /// All missing entries.
+    /// Returns all missing entries.
     pub(super) fn entries(&self, now: MonoTime) -> Vec<LapsedEntry> {
         self.replicas.keys().filter_map(|id| self.entry(id, now)).collect()
     }
 
-    /// Takes out the replicas that are given up now; none while the store is away.
-    fn take_lost_replicas(&mut self, now: MonoTime) -> Vec<ReplicaId> {
-        if self.is_away {
+    /// Removes and returns the replicas whose time is over; none while the store is unreachable.
+    fn take_expired_replicas(&mut self, now: MonoTime) -> Vec<ReplicaId> {
+        if self.is_unreachable {
             return Vec::new();
         }
         let due = self.replicas.iter().filter(|(_, until)| now >= **until);
@@ -88,9 +92,10 @@
         due
     }
 
-    /// The halls that come into use now, as the operator has not named them again.
-    fn halls_due(&self, now: MonoTime) -> Vec<HallName> {
-        if self.is_away {
+    /// Returns the halls that are in use from now on, as the operator has not evacuated them again; none while the
+    /// store is unreachable.
+    fn expired_halls(&self, now: MonoTime) -> Vec<HallName> {
+        if self.is_unreachable {
             return Vec::new();
         }
         let due = self.halls.iter().filter(|(_, until)| now >= **until);
@@ -99,15 +104,15 @@
 }
 
 impl RelayMachine {
-    /// Notes the era of the store that something is from; gives the one that was known before if it is later, so that
-    /// the store has come back from an older copy. What is missing in the copy may be written again.
+    /// Records the store's era of data that was read or received. Returns the previously known era if the new one is
+    /// later: the store was then restored from an older copy, and what the copy lacks may be written again.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert_eq!(machine.enter_era(1, Duration::ZERO), None, "nothing was known before");
+    /// assert_eq!(machine.enter_era(1, Duration::ZERO), None, "nothing was known previous");
     /// assert_eq!(machine.enter_era(2, Duration::ZERO), Some(1));
     /// assert_eq!(machine.enter_era(1, Duration::ZERO), None);
     /// ```
@@ -115,7 +120,7 @@
         self.doubt.enter_era(era, now)
     }
 
-    /// Notes whether the store answers; tells whether that changed.
+    /// Records whether the store answers; returns whether that changed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -129,14 +134,15 @@
         self.doubt.note_store(answers, now)
     }
 
-    /// Notes that a replica's entry is missing, and until when it may come back.
+    /// Records that a replica's entry is missing, and until when the replica may renew it.
     pub(super) fn doubt_replica(&mut self, id: &str, until: MonoTime) {
         self.doubt.replicas.entry(id.to_string()).or_insert(until);
         self.table.doubt(id);
     }
 
-    /// Gives up replicas whose entries lapsed and did not come back in time, and forgets asks whose
-    /// time is over.
+    /// Runs the periodic work: removes unconfirmed replicas that did not return in time, drops expired
+    /// load requests, load estimates and crash records, updates this relay's cells and its shares of
+    /// limits, and sends pending load requests. Returns what has changed in the replicas and halls.
     ///
     /// ```
     /// use std::time::Duration;
@@ -152,17 +158,17 @@
         self.share_when_peers_are_known(now);
         self.tick_cells(now);
         self.pump(now);
-        self.end_doubt(now)
+        self.expire_unconfirmed(now)
     }
 
-    /// Gives up what has not come back in time.
-    fn end_doubt(&mut self, now: MonoTime) -> Vec<BeliefChange> {
-        let lost = self.doubt.take_lost_replicas(now);
+    /// Removes the unconfirmed replicas and puts the unconfirmed halls back in use whose time is over.
+    fn expire_unconfirmed(&mut self, now: MonoTime) -> Vec<BeliefChange> {
+        let lost = self.doubt.take_expired_replicas(now);
         for id in &lost {
             self.remove_gone(id);
         }
         let mut changes: Vec<BeliefChange> = lost.into_iter().map(BeliefChange::Gone).collect();
-        let halls = self.doubt.halls_due(now);
+        let halls = self.doubt.expired_halls(now);
         changes.extend(halls.iter().filter_map(|hall| self.set_emptied(hall, false)));
         changes
     }
--- a/quillcove_core/src/relay/machine/mod.rs
+++ b/quillcove_core/src/relay/machine/mod.rs
@@ -17,7 +17,7 @@
 mod view;
 
 pub use self::crashes::BreakStep;
-use self::doubt::StoreDoubt;
+use self::doubt::UnconfirmedState;
 use self::limits::LimitTeller;
 pub use self::priority::ReadingStart;
 pub use self::query::{AttemptOrder, RelayChoice, RelayQuery};
@@ -139,7 +139,7 @@
     /// What callers say of their time, by route.
     tries: BTreeMap<String, CallerTries>,
     /// What is missing in the store and may come back.
-    doubt: StoreDoubt,
+    doubt: UnconfirmedState,
     /// Relays that are there, this one included.
     relays: usize,
     /// Most relays that were there at once. It does not fall: a relay that hears fewer may be cut off
@@ -189,7 +189,7 @@
             promises: PromiseBook::default(),
             budgets: BTreeMap::new(),
             tries: BTreeMap::new(),
-            doubt: StoreDoubt::default(),
+            doubt: UnconfirmedState::default(),
             relays: 1,
             most_relays: 1,
             peers,
