--- a/quillcove_core/src/relay/machine/mod.rs
+++ b/quillcove_core/src/relay/machine/mod.rs
@@ -1,4 +1,5 @@
-//! Decisions of one relay: which replica takes a request, when it waits, and when it is refused.
+//! Decisions of one relay: which replica takes a request, when a request waits, and when it is rejected. The state
+//! changes only by the calls of its methods, which are given the time and do no I/O.
 
 mod access;
 mod attempts;
@@ -49,26 +50,26 @@
 use crate::route::RouteRecord;
 use crate::verdict::{RefusalReason, WorkRefusal};
 
-/// Settings of the machine.
+/// Settings of a [`RelayMachine`].
 #[derive(Clone, Debug)]
 pub struct RelayRules {
     /// Host of this process.
     pub host: HostId,
     /// Hall of this process.
     pub hall: HallName,
-    /// Repeats as a share of first attempts.
+    /// Retries as a share of first attempts.
     pub retry_share: f64,
-    /// Repeats that all relays together may save up; each takes its part of it.
+    /// Retries that all relays together may accumulate; each relay accumulates an even share.
     pub retry_extra: f64,
-    /// Most requests in flight.
+    /// Maximum number of requests in flight.
     pub request_limit: usize,
-    /// Time within which replicas that leave get no more work, by the users' rule.
+    /// Time within which draining replicas must stop receiving new requests, as the users require.
     pub drain_time: Duration,
-    /// How it decides.
+    /// Rules by which the relay decides.
     pub policy: RelayPolicy,
-    /// How long keys work after they were taken away.
+    /// How long API keys stay valid after their revocation.
     pub right: RightRules,
-    /// How limits of workspaces are judged and shared.
+    /// How the limits of workspaces are enforced and divided between relays.
     pub limits: LimitRules,
 }
 
@@ -88,33 +89,32 @@
     }
 }
 
-/// A change that this process noticed, worth a line in the log.
+/// A change of the relay's state that is written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BeliefChange {
-    /// A sheet came into force.
+    /// A configuration came into force.
     Sheet(SheetVersion),
     /// An adapter has a new version.
     Version(HeldAdapter),
     /// A replica is new, or its state changed.
     Listed(ReplicaId),
-    /// A replica's entry is gone.
+    /// A replica was removed because its entry is gone.
     Gone(ReplicaId),
-    /// Another replica was listed at a replica's address, so that the older one is gone, or it has itself
-    /// started again.
+    /// A replica was removed because another one was listed at its address, or because it has restarted.
     Replaced(ReplicaId),
-    /// A replica's entry is gone, but may come back as the store was away.
+    /// A replica is unconfirmed: its entry is gone, but may be renewed as the store was unreachable or restored.
     Doubted(ReplicaId),
-    /// The entry of a replica that was doubted is back.
+    /// The entry of an unconfirmed replica was renewed.
     Returned(ReplicaId),
-    /// A replica is cold.
+    /// A replica has begun its warm-up.
     Cold(ReplicaId),
-    /// A hall is to be emptied.
+    /// A hall is being evacuated.
     HallEmptied(HallName),
     /// A hall is in use again.
     HallInUse(HallName),
 }
 
-/// A relay's decisions.
+/// The state of one relay and the decisions made on it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -128,46 +128,49 @@
     rules: RelayRules,
     sheet: Option<Arc<RouteSheet>>,
     table: ReplicaTable,
-    /// How the engines of each service are divided.
+    /// Division of the engines of each service into cells.
     cells: BTreeMap<ServiceName, CellPlan>,
-    /// When they are to be looked at again.
+    /// When the division is checked next.
     cells_due: MonoTime,
+    /// Newest published version of each adapter, and the time from which requests may start on no older one.
     versions: BTreeMap<AdapterKey, (AdapterVersion, MonoTime)>,
     demand: AdapterDemand,
     promises: PromiseBook,
     budgets: BTreeMap<ServiceName, RetryBudget>,
-    /// What callers say of their time, by route.
+    /// Remaining times that callers state, by route, from which retries are recognized.
     tries: BTreeMap<String, CallerTries>,
-    /// What is missing in the store and may come back.
+    /// Replicas and halls that are missing from the store but may be written again.
     doubt: UnconfirmedState,
-    /// Relays that are there, this one included.
+    /// Number of known relays, this one included.
     relays: usize,
-    /// Most relays that were there at once. It does not fall: a relay that hears fewer may be cut off
-    /// from the others, which go on with their parts of what is shared.
+    /// Highest number of relays known at once. It never decreases: a relay that knows fewer may be
+    /// partitioned from the others, which go on using their shares.
     most_relays: usize,
-    /// The relays that are there, among which limits of replicas are shared.
+    /// The known relays, among which rate limits of replicas are divided.
     peers: RelayPeers,
-    /// Most of them at once, as for [`Self::most_relays`].
+    /// Highest number of peers known at once; never decreases, like [`Self::most_relays`].
     most_peers: usize,
     /// Whether the process has run for long enough to know the other relays.
     are_peers_known: bool,
-    /// What was told of limits of replicas.
+    /// Which rate limits of replicas have been reported to the other relays.
     limits: LimitTeller,
-    /// What this relay knows of the store.
+    /// Positions in the store up to which this relay is informed.
     knowledge: StoreKnowledge,
-    /// What workspaces have used.
+    /// Usage of the workspaces.
     ledger: LimitLedger,
-    /// Under which requests replicas end.
+    /// Tracks the requests under which replicas exit.
     crashes: CrashWatch,
+    /// Number of requests in flight.
     requests: usize,
     is_stopping: bool,
-    draws: u64,
-    /// Prompts that were sent.
-    readings: ReadingNumber,
+    /// Seed, incremented with each draw.
+    draw_state: u64,
+    /// Number of the last prompt that was sent.
+    last_reading: ReadingNumber,
 }
 
 impl RelayMachine {
-    /// A machine that knows nothing yet. The seed feeds its draws.
+    /// Creates a machine with no knowledge of the store or of other relays. Its random draws derive from `seed`.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -200,12 +203,12 @@
             crashes: CrashWatch::default(),
             requests: 0,
             is_stopping: false,
-            draws: seed,
-            readings: 0,
+            draw_state: seed,
+            last_reading: 0,
         }
     }
 
-    /// Takes over changed settings.
+    /// Applies changed settings.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -219,7 +222,7 @@
         self.resize_budgets();
     }
 
-    /// The sheet in force.
+    /// Returns the configuration in force.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -230,7 +233,7 @@
         self.sheet.as_ref()
     }
 
-    /// The replicas that are known.
+    /// Returns the known replicas.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -242,7 +245,7 @@
         &self.table
     }
 
-    /// Newest versions of adapters that the operator named.
+    /// Returns the newest version of an adapter that the operator has published.
     ///
     /// ```
     /// use quillcove_core::relay::beacon::AdapterKey;
@@ -255,7 +258,7 @@
         self.versions.get(key).map(|(version, _)| *version)
     }
 
-    /// Engines of a service that take new work.
+    /// Returns the engines of a service that accept new requests.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -267,7 +270,7 @@
         self.table.all().filter(move |view| view.record.service == service && view.is_ready())
     }
 
-    /// Takes what is known of the other relays.
+    /// Records the numbers of the other relays and of the adapters they lack.
     ///
     /// ```
     /// use std::time::Duration;
@@ -288,8 +291,8 @@
         self.demand.set_others(others);
     }
 
-    /// Tells whether less than half of the relays are there that were there at once: this one may be cut off
-    /// from the others.
+    /// Returns whether less than half of the highest number of relays is known now, so that this relay may be
+    /// partitioned from the others.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -300,7 +303,7 @@
         self.relays * 2 < self.most_relays
     }
 
-    /// Adapters that requests of this relay lack.
+    /// Returns the number of adapters that requests of this relay wait for.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -311,8 +314,8 @@
         self.demand.lacking()
     }
 
-    /// Tells whether callers can be served: a sheet is in force, replicas are known, and the
-    /// process does not stop.
+    /// Returns whether callers can be served: a configuration is in force, replicas are known, and the
+    /// process is not stopping.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -323,7 +326,7 @@
         self.sheet.is_some() && self.table.all().next().is_some() && !self.is_stopping
     }
 
-    /// Begins the planned stop.
+    /// Begins the planned shutdown.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -336,7 +339,7 @@
         self.is_stopping = true;
     }
 
-    /// Tells whether the planned stop has begun.
+    /// Returns whether the planned shutdown has begun.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -347,7 +350,7 @@
         self.is_stopping
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -358,11 +361,11 @@
         self.requests
     }
 
-    /// Admits a request, or refuses it.
+    /// Admits a request: counts it as in flight and credits its service's retry budget.
     ///
     /// # Errors
     ///
-    /// A refusal when too many requests are in flight or its time is over.
+    /// Rejects the request if too many requests are in flight or its deadline has passed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -389,7 +392,8 @@
         Ok(())
     }
 
-    /// Time since the first try of a caller that will wait this long for its answer.
+    /// Returns the time since the first attempt of a caller that will wait this long for its response, and learns from
+    /// it how long the route's callers wait. Zero for a first attempt and when the time cannot be determined.
     ///
     /// ```
     /// use std::time::Duration;
@@ -402,7 +406,7 @@
         self.tries.entry(route.to_string()).or_default().age_of(patience)
     }
 
-    /// Notes that an admitted request has its answer or has gone.
+    /// Records that an admitted request was answered or abandoned.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -415,7 +419,7 @@
         self.requests = self.requests.saturating_sub(1);
     }
 
-    /// Draws the service of a request by its route's weights.
+    /// Draws the service of a request at random by its route's weights; `None` if they sum to zero.
     ///
     /// ```
     /// use std::time::Duration;
@@ -443,12 +447,14 @@
         route.draw_service(draw).cloned()
     }
 
+    /// Returns the next pseudo-random number.
     fn draw(&mut self) -> u64 {
-        self.draws = self.draws.wrapping_add(1);
-        rendezvous::weight("draw", &self.draws.to_string())
+        self.draw_state = self.draw_state.wrapping_add(1);
+        rendezvous::weight("draw", &self.draw_state.to_string())
     }
 }
 
+/// Returns the rejection of a request that no replica has executed.
 fn refuse(reason: RefusalReason, retry_after: Option<Duration>) -> RelayChoice {
     RelayChoice::Refuse(WorkRefusal::not_run(reason, retry_after))
 }
--- a/quillcove_core/src/relay/machine/priority.rs
+++ b/quillcove_core/src/relay/machine/priority.rs
@@ -1,4 +1,4 @@
-//! With which rank a request goes to an engine, and when its first event is expected.
+//! Assigns the priority rank of a request at its engine and estimates the time to its first event.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use crate::relay::policy::PriorityRule;
 use crate::relay::reading::{ReadingNumber, ReadingPrompt};
 
-/// Last rank of requests that can be in time; those that can't come behind it.
+/// Last rank of requests that can meet their target latency; the others get the ranks after it.
 const LAST_TIMELY_RANK: u8 = 4;
 
-/// Last rank that an engine knows.
+/// Last rank that engines accept.
 const LAST_RANK: u8 = 9;
 
-/// An attempt whose prompt an engine is to read.
+/// An attempt whose prompt is queued at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadingStart {
-    /// Names the attempt; `None` when the size of its prompt is not known.
+    /// Number of the attempt; `None` if the size of its prompt or the engine is unknown.
     pub number: Option<ReadingNumber>,
-    /// Its rank at the engine.
+    /// Priority rank at the engine, 0 first.
     pub rank: u8,
-    /// Time until its first event, when that can be told.
+    /// Estimated time until the first event; `None` if it is unknown, as `number` is.
     pub expected: Option<Duration>,
 }
 
 impl RelayMachine {
-    /// Notes that a request goes to an engine; gives its rank there.
+    /// Records that a request is sent to an engine and returns its rank there.
     ///
-    /// A request that would miss its aim at the rank of its route goes behind those that can still be
-    /// in time: it is late with either rank, and would make others late as well.
+    /// A request that would miss its target latency at its own rank is ranked after those that
+    /// can still meet theirs: it is late with either rank, and would make others late as well.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -77,16 +77,16 @@
         };
         let norm = self.table.norm(&query.service);
         let prompt = ReadingPrompt { tokens, rank };
-        let timely = view.reading.time_to_read(prompt, &norm);
-        let is_late = now + timely > query.due();
+        let reading_time = view.reading.time_to_read(prompt, &norm);
+        let is_late = now + reading_time > query.due();
         let rank = match self.rules.policy.priority {
             PriorityRule::Feasible if is_late => (rank + LAST_TIMELY_RANK + 1).min(LAST_RANK),
             PriorityRule::Feasible | PriorityRule::Route => rank,
         };
         let prompt = ReadingPrompt { tokens, rank };
         let expected = view.reading.time_to_read(prompt, &norm);
-        self.readings += 1;
-        self.table.begin_reading(replica, self.readings, prompt, now);
-        ReadingStart { number: Some(self.readings), rank, expected: Some(expected) }
+        self.last_reading += 1;
+        self.table.begin_reading(replica, self.last_reading, prompt, now);
+        ReadingStart { number: Some(self.last_reading), rank, expected: Some(expected) }
     }
 }
