--- a/quillcove_core/src/relay/machine/repeats.rs
+++ b/quillcove_core/src/relay/machine/repeats.rs
@@ -1,37 +1,39 @@
-//! The budgets of repeats, one a service: this relay's part of what the fleet may repeat.
+//! Retry budgets, one per service: this relay's share of the retries that all relays may make.
 
 use super::RelayMachine;
 use crate::entry::retry::RetryBudget;
 
-/// Repeats that a relay has from its start, and may save up however many relays there are. As many
-/// relays as the fleet may save up repeats for bear it.
-const FIRST_REPEATS: f64 = 1.0;
+/// Retries that a relay has when it starts, and may accumulate however many relays there are. The
+/// common limit holds as long as there are no more relays than retries that all may accumulate.
+const MIN_RETRIES: f64 = 1.0;
 
 impl RelayMachine {
+    /// Returns the retry budget of a service, created at its first use.
     pub(super) fn budget(&mut self, service: &str) -> &mut RetryBudget {
-        let (share, saving) = (self.rules.retry_share, self.retry_saving());
-        let fresh = || RetryBudget::starting_with(share, saving, saving.min(FIRST_REPEATS));
-        self.budgets.entry(service.to_string()).or_insert_with(fresh)
+        let (share, capacity) = (self.rules.retry_share, self.retry_capacity());
+        let new_budget = || RetryBudget::starting_with(share, capacity, capacity.min(MIN_RETRIES));
+        self.budgets.entry(service.to_string()).or_insert_with(new_budget)
     }
 
-    /// Repeats that this relay may save up: its even part of what the fleet may, so that all savings
-    /// together stay within it. A relay that has heard no other may be one of many.
-    fn retry_saving(&self) -> f64 {
-        let part = match self.most_relays {
-            1 => FIRST_REPEATS,
+    /// Returns the number of retries that this relay may accumulate: an even share of the common limit, so that all
+    /// relays together stay within it. A relay that knows no other may still be one of many and gets the minimum.
+    fn retry_capacity(&self) -> f64 {
+        let own_share = match self.most_relays {
+            1 => MIN_RETRIES,
             relays => self.rules.retry_extra / relays as f64,
         };
-        part.max(FIRST_REPEATS).min(self.rules.retry_extra)
+        own_share.max(MIN_RETRIES).min(self.rules.retry_extra)
     }
 
+    /// Adapts all budgets to changed settings or another number of relays.
     pub(super) fn resize_budgets(&mut self) {
-        let (share, saving) = (self.rules.retry_share, self.retry_saving());
+        let (share, capacity) = (self.rules.retry_share, self.retry_capacity());
         for budget in self.budgets.values_mut() {
-            budget.resize(share, saving);
+            budget.resize(share, capacity);
         }
     }
 
-    /// Takes one repeat from the budget of a service; `false` when none is left.
+    /// Takes one retry from the budget of a service; returns `false` if none is left.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -42,7 +44,7 @@
         self.budget(service).take()
     }
 
-    /// Tells whether the budget of a service allows a repeat now.
+    /// Returns whether the budget of a service allows a retry now.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
