--- a/quillcove_core/src/relay/machine/choice.rs
+++ b/quillcove_core/src/relay/machine/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::standing::ReplicaOffer;
+use super::standing::EligibleReplicas;
 use super::{AttemptOrder, RelayChoice, RelayMachine, RelayQuery, refuse};
 use crate::crash::book::FORGET_TIME;
 use crate::ids::{AdapterVersion, MonoTime};
@@ -126,16 +126,16 @@
             return refuse(RefusalReason::EndsUpstreams, Some(FORGET_TIME));
         }
         let draw = self.draw();
-        let (offered, is_last_resort) = match self.offer(query, now) {
-            ReplicaOffer::Open(open) => (open, false),
-            ReplicaOffer::LastResort(leaving) => (leaving, true),
-            ReplicaOffer::Resting(until) => return self.refuse_resting(until, now),
-            ReplicaOffer::None => return refuse(RefusalReason::NoUpstream, Some(SOON)),
+        let (eligible, is_last_resort) = match self.eligible_replicas(query, now) {
+            EligibleReplicas::Open(open) => (open, false),
+            EligibleReplicas::LastResort(leaving) => (leaving, true),
+            EligibleReplicas::AvailableAt(until) => return self.refuse_until(until, now),
+            EligibleReplicas::None => return refuse(RefusalReason::NoUpstream, Some(SOON)),
         };
         let limit = self.connection_limit(&query.service);
         let has_connection =
             |view: &&ReplicaView| (view.in_flight as usize) < self.connection_share(limit, view);
-        let open: Vec<&ReplicaView> = offered.into_iter().filter(has_connection).collect();
+        let open: Vec<&ReplicaView> = eligible.into_iter().filter(has_connection).collect();
         if open.is_empty() {
             return RelayChoice::Refuse(WorkRefusal::overloaded());
         }
@@ -362,7 +362,7 @@
     /// otherwise rejects the request at once with a retry delay.
     fn wait_or_refuse(&mut self, query: &RelayQuery, now: MonoTime) -> RelayChoice {
         match self.rules.policy.waiting {
-            WaitingRule::Returned if query.is_return() => self.await_while_servable(query, now),
+            WaitingRule::Returned if query.is_retry() => self.await_while_servable(query, now),
             WaitingRule::Servable => self.await_while_servable(query, now),
             WaitingRule::Returned | WaitingRule::Aim => self.await_within_target(query, now),
         }
--- a/quillcove_core/src/relay/machine/query.rs
+++ b/quillcove_core/src/relay/machine/query.rs
@@ -1,4 +1,4 @@
-//! What is asked for a request, and what is answered: where it goes, a wait, or a refusal.
+//! Input and output of the choice for a request: what it needs, and whether it is sent, waits, or is rejected.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,35 +12,35 @@
 use crate::route::RouteRecord;
 use crate::verdict::WorkRefusal;
 
-/// What a request needs, as far as decisions go.
+/// The properties of a request on which decisions depend.
 #[derive(Clone, Debug)]
 pub struct RelayQuery {
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<RouteRecord>,
-    /// Its service, drawn by the route's weights.
+    /// Service, drawn by the route's weights.
     pub service: ServiceName,
-    /// Base model that it names.
+    /// Base model that the request names.
     pub model: Option<ModelName>,
-    /// Adapter that it names.
+    /// Adapter that the request names.
     pub adapter: Option<AdapterKey>,
-    /// Tokens of its prompt, when it says so.
+    /// Number of prompt tokens, if the request states it.
     pub prompt_tokens: Option<u32>,
-    /// When its head was read.
+    /// When the request's head was received.
     pub received: MonoTime,
-    /// Time since its caller's first try, as far as that can be told.
+    /// Time since the caller's first attempt; zero for a first attempt or if it is unknown.
     pub age: Duration,
-    /// When its caller or its route gives it up.
+    /// When the caller's or the route's timeout ends.
     pub deadline: MonoTime,
-    /// How often a choice was made for it.
+    /// Number of choices already made for the request.
     pub looks: u32,
-    /// By which right it came in; `None` where no key is needed.
+    /// Access that the request's API key grants; `None` where no key is required.
     pub grant: Option<AccessGrant>,
-    /// What it is, whatever its id; `None` where that is not known.
+    /// Identity of the request's content, independent of its request id; `None` if it is unknown.
     pub identity: Option<RequestIdentity>,
 }
 
 impl RelayQuery {
-    /// Its rank, 0 first: that of its workspace, else that of its route.
+    /// Returns the priority rank, 0 first: that of the workspace if set, otherwise that of the route.
     ///
     /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
     pub fn rank(&self) -> u8 {
@@ -48,21 +48,21 @@
         workspace.unwrap_or(self.route.priority)
     }
 
-    /// Until when its answer is in time.
+    /// Returns the time until which a response meets the target latency, counted from the caller's first attempt.
     ///
     /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
     pub fn due(&self) -> MonoTime {
         (self.received + self.route.aim).saturating_sub(self.age)
     }
 
-    /// Tells whether its caller has tried before.
+    /// Returns whether the caller is known to have tried before.
     ///
     /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
-    pub fn is_return(&self) -> bool {
+    pub fn is_retry(&self) -> bool {
         self.age > Duration::ZERO
     }
 
-    /// When its caller leaves if no answer has begun.
+    /// Returns when the caller leaves if no response has begun.
     ///
     /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
     pub fn leaves(&self) -> MonoTime {
@@ -71,23 +71,23 @@
     }
 }
 
-/// Where an attempt goes.
+/// Destination of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptOrder {
-    /// The replica.
+    /// Replica to send to.
     pub replica: ReplicaId,
-    /// When it started, where it says so.
+    /// Start time of the replica, if it states one.
     pub born: Option<StartTime>,
-    /// Its address.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// It leaves, and takes this as no other replica is left.
+    /// Whether the replica is draining and is used only because no other replica is left.
     pub is_last_resort: bool,
-    /// When it was chosen; nothing was sent before.
+    /// When the replica was chosen; no byte of the attempt was sent before.
     pub chosen_at: MonoTime,
 }
 
 impl AttemptOrder {
-    /// An order to send to a replica that takes work.
+    /// Creates an order for a replica that accepts requests.
     ///
     /// ```
     /// use quillcove_core::relay::machine::AttemptOrder;
@@ -106,13 +106,13 @@
     }
 }
 
-/// The next step for a request.
+/// The next step of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RelayChoice {
-    /// Send it.
+    /// Send the request.
     Send(AttemptOrder),
-    /// Ask again when the adapters in engines or the plan change, at this time at the latest.
+    /// Choose again when the loaded adapters or the load plan change, and at this time at the latest.
     Wait(MonoTime),
-    /// Refuse it.
+    /// Reject the request.
     Refuse(WorkRefusal),
 }
--- a/quillcove_core/src/relay/machine/standing.rs
+++ b/quillcove_core/src/relay/machine/standing.rs
@@ -1,4 +1,4 @@
-//! Which replicas take a request by what they say of themselves, at its choice and again when it is sent.
+//! Selects the replicas that accept a request by their upstream status, when it is routed and again when it is sent.
 
 use std::time::Duration;
 
@@ -9,31 +9,32 @@
 use crate::standing::{StandingChange, share_of, spread_return};
 use crate::verdict::RefusalReason;
 
-/// Share of the drain time for which a leaving replica is used when no other one is left. Not the whole of it, as the
-/// list may have known of its leaving before this process did.
+/// Share of the drain time for which a draining replica is used if no other one is left. Less than the whole, as the
+/// platform may have listed the replica as draining previous this process learned of it.
 const LAST_RESORT_SHARE: f64 = 0.5;
 
-/// Time over which relays return to a replica that rested, for each relay that is there; each draws its own moment.
-/// So 50 relays return within 100 ms at most, fewer than an engine works on at once, also where 420 rested.
+/// Time, per known relay, over which the relays return to a replica current a requested pause, each at a random moment.
+/// Thus at most 50 relays return within 100 ms, fewer than an engine processes at once, even if 420 have paused.
 const RETURN_SPREAD: Duration = Duration::from_millis(2);
 
-/// Most that a rest is lengthened by.
-const MOST_SPREAD: Duration = Duration::from_secs(1);
+/// Maximum time by which a requested pause is extended.
+const MAX_RETURN_SPREAD: Duration = Duration::from_secs(1);
 
 /// Replicas that may be chosen for a request.
-pub(super) enum ReplicaOffer<'a> {
-    /// These take work.
+pub(super) enum EligibleReplicas<'a> {
+    /// Replicas that accept requests.
     Open(Vec<&'a ReplicaView>),
-    /// All others leave, and these do so since too short a time to refuse what nobody else can take.
+    /// All replicas are draining; these began so recently that they still serve what no other replica can.
     LastResort(Vec<&'a ReplicaView>),
-    /// All that stay rest; the first of them takes work again then.
-    Resting(MonoTime),
-    /// There is none.
+    /// No remaining replica accepts requests now, because of requested pauses or rate limits; the first one does at this
+    /// time.
+    AvailableAt(MonoTime),
+    /// No replica is left.
     None,
 }
 
 impl RelayMachine {
-    /// Takes what a replica said of itself with an answer to an attempt; gives what became known by it.
+    /// Records the upstream status that a replica reported with its response to an attempt; returns the change, if any.
     ///
     /// ```
     /// use std::time::Duration;
@@ -57,31 +58,31 @@
         now: MonoTime,
     ) -> Option<StandingChange> {
         let spread = self.return_spread();
-        let before = self.table.get(&order.replica).and_then(|view| view.standing.limit());
+        let previous = self.table.get(&order.replica).and_then(|view| view.standing.limit());
         let change = self.table.note_said(&order.replica, order.born, notice, spread, now);
-        let after = self.table.get(&order.replica).and_then(|view| view.standing.limit());
-        if after != before {
+        let current = self.table.get(&order.replica).and_then(|view| view.standing.limit());
+        if current != previous {
             self.note_limit_news(&order.replica, now);
         }
         if change == Some(StandingChange::Leaves) {
             self.demand.leave_engine(&order.replica);
         }
         if change.is_some() {
-            // What it held is wanted elsewhere from now on.
+            // Adapters that the replica held have to be loaded elsewhere from now on.
             self.pump(now);
         }
         change
     }
 
-    /// Each relay's own part of the time over which relays return to a replica that rested.
+    /// Returns a random share of the time over which the relays return to a replica after a requested pause.
     pub(super) fn return_spread(&mut self) -> Duration {
         let draw = self.draw();
-        let longest = (RETURN_SPREAD * self.relays as u32).min(MOST_SPREAD);
+        let longest = (RETURN_SPREAD * self.relays as u32).min(MAX_RETURN_SPREAD);
         longest.mul_f64(share_of(draw))
     }
 
-    /// Tells whether an attempt may be sent now. Between its choice and this moment a connection was opened or
-    /// turned out to be closed, the process was suspended, or the replica said something.
+    /// Returns whether an attempt may still be sent. Since the replica was chosen, time has passed to open a connection
+    /// or to find one closed, the process may have been suspended, or the replica may have reported a new status.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -100,45 +101,49 @@
         let Some(view) = self.table.get(&order.replica) else {
             return false;
         };
-        let stays = match order.is_last_resort {
+        let is_usable = match order.is_last_resort {
             true => self.is_last_resort(view, received),
             false => view.is_ready(),
         };
-        stays && view.record.born == order.born && view.standing.may_write(order.chosen_at, now)
+        is_usable && view.record.born == order.born && view.standing.may_write(order.chosen_at, now)
     }
 
-    /// The replicas of a request's service that may be chosen.
-    pub(super) fn offer(&self, query: &RelayQuery, now: MonoTime) -> ReplicaOffer<'_> {
+    /// Returns the replicas of a request's service that may be chosen.
+    pub(super) fn eligible_replicas(
+        &self,
+        query: &RelayQuery,
+        now: MonoTime,
+    ) -> EligibleReplicas<'_> {
         let of_service = || self.table.all().filter(|view| view.record.service == query.service);
         let ready: Vec<&ReplicaView> = of_service().filter(|view| view.is_ready()).collect();
         if ready.is_empty() {
-            let last = of_service().filter(|view| {
+            let last_resort = of_service().filter(|view| {
                 self.is_last_resort(view, query.received) && view.standing.takes_work(now)
             });
-            let last: Vec<&ReplicaView> = last.collect();
-            return match last.is_empty() {
-                true => ReplicaOffer::None,
-                false => ReplicaOffer::LastResort(last),
+            let last_resort: Vec<&ReplicaView> = last_resort.collect();
+            return match last_resort.is_empty() {
+                true => EligibleReplicas::None,
+                false => EligibleReplicas::LastResort(last_resort),
             };
         }
         let open: Vec<&ReplicaView> =
             ready.iter().copied().filter(|view| view.takes_work(now)).collect();
         match ready.iter().map(|view| view.standing.takes_work_from(now)).min() {
-            Some(soonest) if open.is_empty() => ReplicaOffer::Resting(soonest),
-            _ => ReplicaOffer::Open(self.prefer_near(open, query.model.as_deref(), now)),
+            Some(soonest) if open.is_empty() => EligibleReplicas::AvailableAt(soonest),
+            _ => EligibleReplicas::Open(self.prefer_near(open, query.model.as_deref(), now)),
         }
     }
 
-    /// Tells whether a leaving replica may take a request that was received then, if no other is left.
+    /// Returns whether a draining replica may take a request received at the given time if no other is left.
     fn is_last_resort(&self, view: &ReplicaView, received: MonoTime) -> bool {
         let bound = self.rules.drain_time.mul_f64(LAST_RESORT_SHARE);
         let is_listed = view.record.state == ReplicaState::Ready;
         is_listed && view.leaving_since().is_some_and(|since| received < since + bound)
     }
 
-    /// Refuses a request because all replicas rest. Held until one returns, it would reach it together with all
-    /// others that waited; its caller comes back after the first end, each at a moment of its own.
-    pub(super) fn refuse_resting(&mut self, until: MonoTime, now: MonoTime) -> RelayChoice {
+    /// Rejects a request because no replica accepts requests before `until`. If requests were held until then, all
+    /// would reach the replica at once; instead each caller gets its own random retry delay, which ends no earlier.
+    pub(super) fn refuse_until(&mut self, until: MonoTime, now: MonoTime) -> RelayChoice {
         let left = spread_return(until.saturating_sub(now), self.draw());
         refuse(RefusalReason::Overloaded, Some(left))
     }
