--- a/quillcove_core/src/relay/machine/view.rs
+++ b/quillcove_core/src/relay/machine/view.rs
@@ -1,4 +1,4 @@
-//! A relay's state in a dump.
+//! Serializable snapshot of a relay's state, for the `dump` command and the operator's port.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,75 +17,76 @@
 use crate::standing::LeavingSource;
 use crate::standing::limit::RateLimit;
 
-/// A relay's state in a dump.
+/// Snapshot of a relay's state.
 #[derive(Clone, Debug, Serialize)]
 pub struct RelayView {
-    /// Version of the sheet in force, 0 for none.
+    /// Version of the configuration in force, 0 for none.
     pub sheet: SheetVersion,
-    /// Routes in it.
+    /// Number of routes in the configuration.
     pub routes: usize,
-    /// Positions in the platform's store up to which its parts are known.
+    /// Positions in the store up to which the relay knows its parts.
     pub store: ReadPositions,
-    /// Relays that are there, as far as this one hears, itself included.
+    /// Number of known relays, this one included.
     pub relays: usize,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub requests: usize,
-    /// Repeats that the budget allows now.
+    /// Retries that the budgets of all services allow now.
     pub retry_budget: f64,
-    /// Whether new connections are to end, as the process stops.
+    /// Whether the process is stopping, so that new connections are to be closed.
     pub stopping: bool,
-    /// Age in milliseconds of the proof that all keys that were taken away are known; absent without one.
+    /// Age, in milliseconds, of the latest freshness proof, i.e. the proof that all revoked keys are known; absent
+    /// without one.
     pub key_age_ms: Option<u64>,
-    /// Workspaces in force.
+    /// Workspaces in the configuration in force.
     pub workspaces: Vec<WorkspaceSummary>,
-    /// What is known of requests under which replicas end.
+    /// Summary of the requests suspected of making replicas exit.
     pub suspected: CrashSummary,
-    /// Replicas known.
+    /// Known replicas.
     pub replicas: Vec<ReplicaSummary>,
 }
 
-/// One workspace in a dump. Its keys are not shown.
+/// Snapshot of a workspace, without its keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkspaceSummary {
-    /// As published.
+    /// The workspace as published.
     #[serde(flatten)]
     pub record: WorkspaceRecord,
-    /// Units that it may still use, as far as this relay knows; absent before its first request.
+    /// Units that the workspace may still use, as far as this relay knows; absent before its first request.
     pub left: Option<f64>,
-    /// Units that it used through this relay.
+    /// Units that the workspace has used through this relay.
     pub used: i64,
 }
 
-/// One replica in a dump.
+/// Snapshot of a replica.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReplicaSummary {
-    /// As listed.
+    /// The replica as listed by the platform.
     #[serde(flatten)]
     pub record: ReplicaRecord,
-    /// Requests of this process in flight there.
+    /// Requests of this process in flight at the replica.
     pub in_flight: u32,
-    /// Its load, as a share of its places.
+    /// Load as a share of the replica's request slots.
     pub load: f64,
-    /// Whether it seems to work.
+    /// Whether the replica seems healthy.
     pub is_well: bool,
-    /// Whether its loader's report is fresh.
+    /// Whether a recent report of the replica's loader is known.
     pub has_report: bool,
-    /// For how long it has been known to leave by its own word or its loader's.
+    /// How long the replica has been known to be draining by its own report or its loader's, in milliseconds.
     pub leaving_ms: Option<u64>,
-    /// Who said that it leaves, by an answer of its own or to another relay.
+    /// Source of the report that the replica is draining: a response to this relay, its listing, or another process.
     pub leaving_by: Option<LeavingSource>,
-    /// How long it still rests.
+    /// Remaining time of the requested pause, in milliseconds.
     pub rest_left_ms: Option<u64>,
-    /// Requests that may go to it now, when it has just rested.
+    /// Requests that may be sent to the replica now, during and shortly after a requested pause.
     pub may_take: Option<u32>,
-    /// Requests a second that it takes from all relays together, where it names a limit.
+    /// Rate limit announced by the replica for all relays together, in requests per second.
     pub limit: Option<f64>,
-    /// When one may go to it, or to another relay's part of its limit.
+    /// Time until the next request may be sent to the replica under its limit, by this or another relay, in milliseconds.
     pub next_in_ms: Option<u64>,
 }
 
 impl RelayMachine {
-    /// The state at this time.
+    /// Returns a snapshot of the state.
     ///
     /// ```
     /// use std::time::Duration;
@@ -128,6 +129,7 @@
         }
     }
 
+    /// Returns snapshots of all workspaces in the configuration in force.
     fn workspace_summaries(&self) -> Vec<WorkspaceSummary> {
         let access = self.sheet.as_ref().and_then(|sheet| sheet.access());
         let records = access.into_iter().flat_map(|access| access.workspaces());
