--- a/quillcove_core/src/relay/policy.rs
+++ b/quillcove_core/src/relay/policy.rs
@@ -1,51 +1,51 @@
-//! The rules by which a relay decides, each of which can be switched back for measurement.
+//! The rules by which a relay decides. Each can be replaced by a simpler alternative to measure its effect.
 
 use crate::access::limit::LimitRule;
 
 /// How the replica for a prompt is chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RoutingRule {
-    /// By the time until the first event: what the engine has to read, and the prompt itself.
+    /// By the estimated time to the first event: the prefill of the engine's backlog and of the prompt itself.
     #[default]
     Reading,
-    /// By the share of places in use.
+    /// By the share of request slots in use.
     Places,
 }
 
-/// When another copy of an adapter is asked for.
+/// When another copy of an adapter is requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CopyRule {
-    /// When a copy is there sooner than its engine is done with what it has to read.
+    /// When a copy would be loaded before the adapter's engine has worked off its prefill backlog.
     #[default]
     Backlog,
-    /// When the places of its engine are nearly taken.
+    /// When most request slots of the adapter's engine are in use.
     Places,
 }
 
-/// With which rank a request goes to an engine.
+/// Which priority rank a request has at its engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PriorityRule {
-    /// What is too late for its aim in any case goes behind what is not.
+    /// Rank of the route, but requests that can no longer meet their target latency rank after those that can.
     #[default]
     Feasible,
-    /// That of its route.
+    /// Rank of the route.
     Route,
 }
 
-/// Which of several engines takes an adapter in.
+/// Which of several engines loads an adapter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlacementRule {
-    /// One that has a place for it now, and of these the one that has least to read.
+    /// An engine with a free adapter slot, and of these the one with the smallest prefill backlog.
     #[default]
     SpareIdle,
-    /// One that has a place for it now; a rendezvous hash decides between them.
+    /// An engine with a free adapter slot, chosen by rendezvous hash.
     Spare,
-    /// Any; a rendezvous hash decides.
+    /// Any engine, chosen by rendezvous hash.
     Even,
 }
 
 impl PlacementRule {
-    /// Whether an engine must have a place now.
+    /// Returns whether an engine must have a free adapter slot.
     pub(super) fn needs_spare(self) -> bool {
         match self {
             Self::SpareIdle | Self::Spare => true,
@@ -57,41 +57,42 @@
 /// How long a request waits for its adapter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WaitingRule {
-    /// A first try as long as it can be served within its aim; a caller that has come back as long as it
-    /// can still be served.
+    /// A first attempt as long as it can be served within its target latency; a retry as long as it can
+    /// be served before its caller leaves.
     #[default]
     Returned,
-    /// As long as its caller can still be served; it is refused as soon as it can't.
+    /// As long as it can be served before its caller leaves; after that it is rejected at once.
     Servable,
-    /// As long as it can be served within its aim, and up to twice the aim when that was missed.
+    /// As long as it can be served within its target latency, and up to twice that time if the load
+    /// became late.
     Aim,
 }
 
-/// Which relays send to a replica that names a limit for all of them together.
+/// Which relays send requests to a replica that has announced a rate limit for all relays together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SharingRule {
-    /// A few, each with a larger part.
+    /// A few relays, each with a larger share of the limit.
     #[default]
     Few,
-    /// All, each with an even part.
+    /// All relays, each with an even share.
     All,
 }
 
-/// All of them.
+/// All rules of a relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayPolicy {
     /// How the replica for a prompt is chosen.
     pub routing: RoutingRule,
-    /// When another copy of an adapter is asked for.
+    /// When another copy of an adapter is requested.
     pub copies: CopyRule,
-    /// With which rank a request goes to an engine.
+    /// Which priority rank a request has at its engine.
     pub priority: PriorityRule,
-    /// Which engine takes an adapter in.
+    /// Which engine loads an adapter.
     pub placement: PlacementRule,
     /// How long a request waits for its adapter.
     pub waiting: WaitingRule,
-    /// How the relays share limits of workspaces.
+    /// How the relays share the limits of workspaces.
     pub limits: LimitRule,
-    /// Which relays share a limit that a replica names.
+    /// Which relays share a rate limit announced by a replica.
     pub sharing: SharingRule,
 }
