--- a/quillcove_core/src/relay/machine/mod.rs
+++ b/quillcove_core/src/relay/machine/mod.rs
@@ -402,8 +402,8 @@
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
     /// assert_eq!(machine.age_of("r", Duration::from_secs(1)), Duration::ZERO);
     /// ```
-    pub fn age_of(&mut self, route: &str, patience: Duration) -> Duration {
-        self.tries.entry(route.to_string()).or_default().age_of(patience)
+    pub fn age_of(&mut self, route: &str, waiting_time: Duration) -> Duration {
+        self.tries.entry(route.to_string()).or_default().age_of(waiting_time)
     }
 
     /// Records that an admitted request was answered or abandoned.
--- a/quillcove_core/src/relay/tries.rs
+++ b/quillcove_core/src/relay/tries.rs
@@ -1,21 +1,22 @@
-//! Whether a request is its caller's first try, and how long ago that was.
+//! Estimates whether a request is its caller's first attempt, and how long ago that was.
 //!
-//! Callers say how long they will still wait. On a route whose callers all wait equally long at first,
-//! one that waits less has tried before, and the difference is the time since.
+//! Callers state how long they will still wait. On a route whose callers all start with the same time,
+//! one that states less has tried before, and the difference is the time since its first attempt.
 
 use std::time::Duration;
 
-/// Share of a route's longest time by which a first try may fall short of it.
-const FIRST_TRY_SHARE: f64 = 0.98;
+/// Share of a route's longest waiting time from which on a request counts as a first attempt.
+const FIRST_ATTEMPT_SHARE: f64 = 0.98;
 
-/// Share of a route's requests that must wait for the longest time before shorter ones are taken for
-/// further tries: callers that differ among themselves tell nothing.
-const ALIKE_SHARE: f64 = 0.5;
+/// Share of a route's requests that must state the longest waiting time for shorter ones to count as
+/// retries. If callers differ in their waiting times, a short one does not identify a retry.
+const UNIFORM_MIN_SHARE: f64 = 0.5;
 
-/// Share of what was counted that each request replaces.
-const COUNT_SHARE: f64 = 0.01;
+/// Weight of the latest request in the moving average of the share of requests that state the longest
+/// waiting time.
+const AVERAGE_WEIGHT: f64 = 0.01;
 
-/// What the callers of one route have said.
+/// Waiting times that the callers of one route have stated.
 ///
 /// ```
 /// use std::time::Duration;
@@ -27,14 +28,15 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallerTries {
+    /// Longest waiting time stated so far.
     longest: Duration,
-    /// Share of requests that wait for the longest time.
-    alike: f64,
+    /// Moving average of the share of requests that state the longest waiting time.
+    uniform_share: f64,
 }
 
 impl CallerTries {
-    /// Time since the first try of a caller that will wait this long from now; zero when it is the
-    /// first, or when that can't be told.
+    /// Records a request whose caller will wait this long from now, and returns the time since the
+    /// caller's first attempt. Zero for a first attempt and if it cannot be determined.
     ///
     /// ```
     /// use std::time::Duration;
@@ -42,16 +44,16 @@
     ///
     /// assert_eq!(CallerTries::default().age_of(Duration::ZERO), Duration::ZERO);
     /// ```
-    pub fn age_of(&mut self, patience: Duration) -> Duration {
-        if patience > self.longest {
-            *self = Self { longest: patience, alike: 1.0 };
+    pub fn age_of(&mut self, waiting_time: Duration) -> Duration {
+        if waiting_time > self.longest {
+            *self = Self { longest: waiting_time, uniform_share: 1.0 };
             return Duration::ZERO;
         }
-        let is_first = patience >= self.longest.mul_f64(FIRST_TRY_SHARE);
-        let seen = if is_first { 1.0 } else { 0.0 };
-        self.alike += (seen - self.alike) * COUNT_SHARE;
-        match !is_first && self.alike >= ALIKE_SHARE {
-            true => self.longest - patience,
+        let is_first = waiting_time >= self.longest.mul_f64(FIRST_ATTEMPT_SHARE);
+        let sample = if is_first { 1.0 } else { 0.0 };
+        self.uniform_share += (sample - self.uniform_share) * AVERAGE_WEIGHT;
+        match !is_first && self.uniform_share >= UNIFORM_MIN_SHARE {
+            true => self.longest - waiting_time,
             false => Duration::ZERO,
         }
     }
