--- a/quillcove_core/src/relay/machine/choice.rs
+++ b/quillcove_core/src/relay/machine/choice.rs
@@ -31,7 +31,7 @@
 const REPORT_DELAY: Duration = Duration::from_millis(80);
 
 /// Time from the start of the process within which all loaders have reported to it: they learn of
-/// it with the first read of the membership list.
+/// the process with the first read of the membership list.
 const FIRST_REPORTS_TIME: Duration = Duration::from_millis(500);
 
 /// Retry delay for a caller that another relay can serve at once.
@@ -41,8 +41,8 @@
 /// longer than a third of it before they retry.
 const RETRY_DELAY_SHARE: f64 = 0.33;
 
-/// Requests for one adapter in flight at an engine, from all relays, at which a loaded engine
-/// justifies another copy of the adapter. With fewer, a copy would not relieve the engine.
+/// Requests for one adapter in flight at an engine, from all relays, at which a busy engine justifies
+/// another copy of the adapter. With fewer, a copy would not relieve the engine.
 const COPY_MIN_REQUESTS: u32 = 4;
 
 /// Time for which another copy of a loaded adapter stays wanted after the request that showed the
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Requests another copy of the adapter if the chosen engine is loaded or holds an older version
+    /// Requests another copy of the adapter if the chosen engine is busy or holds an older version
     /// than the newest.
     fn request_copy(&mut self, query: &RelayQuery, chosen: &str, now: MonoTime) {
         let Some(key) = &query.adapter else {
--- a/quillcove_core/src/relay/machine/doubt.rs
+++ b/quillcove_core/src/relay/machine/doubt.rs
@@ -112,7 +112,7 @@
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert_eq!(machine.enter_era(1, Duration::ZERO), None, "nothing was known previous");
+    /// assert_eq!(machine.enter_era(1, Duration::ZERO), None, "nothing was known before");
     /// assert_eq!(machine.enter_era(2, Duration::ZERO), Some(1));
     /// assert_eq!(machine.enter_era(1, Duration::ZERO), None);
     /// ```
--- a/quillcove_core/src/relay/machine/repeats.rs
+++ b/quillcove_core/src/relay/machine/repeats.rs
@@ -3,8 +3,8 @@
 use super::RelayMachine;
 use crate::entry::retry::RetryBudget;
 
-/// Retries that a relay has when it starts, and may accumulate however many relays there are. The
-/// common limit holds as long as there are no more relays than retries that all may accumulate.
+/// Retries that a relay has when it starts, and the minimum that it may accumulate however many relays
+/// there are. The common limit holds as long as it is no less than the number of relays.
 const MIN_RETRIES: f64 = 1.0;
 
 impl RelayMachine {
--- a/quillcove_core/src/relay/machine/standing.rs
+++ b/quillcove_core/src/relay/machine/standing.rs
@@ -10,10 +10,10 @@
 use crate::verdict::RefusalReason;
 
 /// Share of the drain time for which a draining replica is used if no other one is left. Less than the whole, as the
-/// platform may have listed the replica as draining previous this process learned of it.
+/// platform may have listed the replica as draining before this process learned of it.
 const LAST_RESORT_SHARE: f64 = 0.5;
 
-/// Time, per known relay, over which the relays return to a replica current a requested pause, each at a random moment.
+/// Time, per known relay, over which the relays return to a replica after a requested pause, each at a random moment.
 /// Thus at most 50 relays return within 100 ms, fewer than an engine processes at once, even if 420 have paused.
 const RETURN_SPREAD: Duration = Duration::from_millis(2);
 
