--- a/quillcove_core/src/relay/loader/mod.rs
+++ b/quillcove_core/src/relay/loader/mod.rs
@@ -1,4 +1,7 @@
-//! Orders to the one engine beside a loader.
+//! Decides which load and unload orders a loader gives to the one engine that it serves.
+//!
+//! Load requests from relays are queued. One order is under way at a time, and an adapter is evicted
+//! first where the engine has no free slot.
 
 mod ordered;
 
@@ -15,51 +18,52 @@
 use crate::standing::UpstreamStanding;
 use crate::standing::notice::UpstreamNotice;
 
-/// Time for which begun loads of base models are told to relays; the window in which they count, and a margin.
-const LOADS_KEPT: Duration = Duration::from_millis(5500);
+/// Time for which started base-model loads are reported to relays: the window in which they count
+/// against the load rate, plus a margin.
+const MODEL_LOAD_RETENTION: Duration = Duration::from_millis(5500);
 
-/// Age at which an ask is dropped; its relay asks again when the adapter still is wanted.
-const ASK_LIFETIME: Duration = Duration::from_millis(2000);
+/// Age at which a queued load request is dropped; the relay repeats it if the adapter is still needed.
+const LOAD_REQUEST_LIFETIME: Duration = Duration::from_millis(2000);
 
-/// Asks that may wait.
-const ASKS_WAITING: usize = 32;
+/// Maximum number of queued load requests.
+const LOAD_REQUEST_LIMIT: usize = 32;
 
-/// Adapters that may be on their way to an engine at once; the engines refuse more.
+/// Maximum number of adapters that an engine loads at once; engines reject more.
 const INCOMING_LIMIT: usize = 4;
 
-/// Half-life of the demand by which the adapter that makes room is chosen.
+/// Half-life of the demand by which the adapter to evict is chosen.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(8);
 
-/// Demand that an ask counts for, in requests.
-const ASK_WORTH: f64 = 1.0;
+/// Demand that a load request counts for, in requests.
+const LOAD_REQUEST_WEIGHT: f64 = 1.0;
 
-/// Time for which an adapter that came in is not taken out: the requests that waited for it are on
-/// their way, and relays tell of them only each half second.
+/// Time for which a newly loaded adapter is not evicted: the requests that waited for it are in
+/// transit, and relays report their use only every 500 ms.
 const SETTLE_TIME: Duration = Duration::from_millis(900);
 
-/// Time after a loader's first report in which the relays that are there tell it their use, which
-/// they do twice a second; the rest is for the way and for a busy host.
-const USES_TOLD_TIME: Duration = Duration::from_millis(600);
+/// Time after the engine's first report by which the running relays have reported their use. They do
+/// so twice a second; the rest covers transit and a busy host.
+const USE_REPORT_WAIT: Duration = Duration::from_millis(600);
 
-/// Time after a relay's last word for which its requests count as in flight.
+/// Time after a relay's last use report for which its requests count as in flight.
 const USE_LIFETIME: Duration = Duration::from_millis(1600);
 
-/// Amount by which a fence is raised after the engine refused it as too low. Fences are
-/// milliseconds of the wall clock, which may have stepped back by some seconds.
+/// Amount by which the fence is raised after the engine rejected it as too low. Fences start at the
+/// wall clock in milliseconds, which may have stepped back by some seconds.
 const FENCE_STEP: u64 = 10_000;
 
-/// What a new report changed.
+/// Difference between an engine's report and the one before.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReportChange {
-    /// Whether the engine holds or awaits something else than before.
+    /// Whether the models, the adapters (loaded or incoming) or the draining flag differ.
     pub is_changed: bool,
-    /// Ordered adapters that the engine holds now.
+    /// Ordered adapters that have been loaded since.
     pub arrived: Vec<(AdapterKey, ArrivedLoad)>,
-    /// Loads that were under way when the engine ended, if it has restarted.
+    /// Loads that were under way when the engine exited, if it has restarted.
     pub broken: Vec<BrokenLoad>,
 }
 
-/// Decides on the orders to one engine.
+/// Queues load requests for one engine and decides on its orders.
 ///
 /// ```
 /// use std::time::Duration;
@@ -72,32 +76,32 @@
 pub struct LoaderMachine {
     holder: HostId,
     fence: u64,
-    asks: VecDeque<(LoadAsk, MonoTime)>,
-    under_way: Option<(LoadOrder, LoadAsk)>,
-    /// When loads of base models were begun.
+    load_requests: VecDeque<(LoadAsk, MonoTime)>,
+    current_order: Option<(LoadOrder, LoadAsk)>,
+    /// Start times of recent base-model loads that read from the weight store.
     model_loads: VecDeque<MonoTime>,
-    /// Adapters for which the engine has room, by the last ask.
-    places: Option<u32>,
-    /// Adapters whose load was ordered and that the engine does not hold yet.
-    ordered: OrderedLoads,
+    /// Number of adapter slots of the engine, from the last load request.
+    adapter_slots: Option<u32>,
+    /// Ordered adapter loads that the engine has not completed yet.
+    ordered_loads: OrderedLoads,
     report: EngineReport,
-    /// When the report was read; `None` before the first.
+    /// When the last report was read; `None` before the first.
     reported_at: Option<MonoTime>,
     /// When the first report was read.
     first_report_at: Option<MonoTime>,
     demand: HashMap<AdapterKey, DemandMeter>,
-    /// Adapters that the engine has held since it last was empty.
-    known: HashSet<AdapterKey>,
-    /// When adapters came in.
-    came_in: HashMap<AdapterKey, MonoTime>,
-    /// Requests in flight for each adapter, by relay, and when the relay said so.
+    /// Adapters that the engine has loaded since it last had no base model; its host has copies of them.
+    loaded_before: HashSet<AdapterKey>,
+    /// When each ordered adapter was loaded.
+    loaded_at: HashMap<AdapterKey, MonoTime>,
+    /// Requests in flight for each adapter, by relay, with the time of the relay's report.
     in_flight: HashMap<SocketAddr, (HashMap<AdapterKey, u32>, MonoTime)>,
-    /// Rests that the engine asked for in its answers.
-    standing: UpstreamStanding,
+    /// Status that the engine reports with its responses to orders; only requested pauses count here.
+    upstream_status: UpstreamStanding,
 }
 
 impl LoaderMachine {
-    /// A machine whose first fence is this one.
+    /// Creates a machine whose orders carry fences above `fence`.
     ///
     /// ```
     /// use quillcove_core::relay::loader::LoaderMachine;
@@ -108,23 +112,23 @@
         Self {
             holder,
             fence,
-            asks: VecDeque::new(),
-            under_way: None,
+            load_requests: VecDeque::new(),
+            current_order: None,
             model_loads: VecDeque::new(),
-            places: None,
-            ordered: OrderedLoads::default(),
+            adapter_slots: None,
+            ordered_loads: OrderedLoads::default(),
             report: EngineReport::default(),
             reported_at: None,
             first_report_at: None,
             demand: HashMap::new(),
-            known: HashSet::new(),
-            came_in: HashMap::new(),
+            loaded_before: HashSet::new(),
+            loaded_at: HashMap::new(),
             in_flight: HashMap::new(),
-            standing: UpstreamStanding::default(),
+            upstream_status: UpstreamStanding::default(),
         }
     }
 
-    /// Takes what a relay tells of its use of the engine's adapters.
+    /// Records a relay's report of its use of the engine's adapters.
     ///
     /// ```
     /// use std::time::Duration;
@@ -139,13 +143,13 @@
             let meter = self.demand.entry(used.key.clone()).or_default();
             meter.add(now, f64::from(used.sent), DEMAND_HALF_LIFE);
         }
-        let busy = beacon.uses.into_iter().filter(|used| used.in_flight > 0);
-        let busy = busy.map(|used| (used.key, used.in_flight)).collect();
-        self.in_flight.insert(beacon.relay, (busy, now));
+        let in_flight = beacon.uses.into_iter().filter(|used| used.in_flight > 0);
+        let in_flight = in_flight.map(|used| (used.key, used.in_flight)).collect();
+        self.in_flight.insert(beacon.relay, (in_flight, now));
     }
 
-    /// Requests in flight for each adapter that the engine holds, in the report's order, over all
-    /// relays that told of them lately.
+    /// Returns the requests in flight for each adapter of the engine, in the order of the report,
+    /// summed over all relays that reported recently.
     ///
     /// ```
     /// use std::time::Duration;
@@ -154,13 +158,13 @@
     /// assert!(LoaderMachine::new("e1".into(), 1).fleet_uses(Duration::ZERO).is_empty());
     /// ```
     pub fn fleet_uses(&self, now: MonoTime) -> Vec<u32> {
-        let is_recent = |told: &MonoTime| now.saturating_sub(*told) < USE_LIFETIME;
-        let relays = || self.in_flight.values().filter(|(_, told)| is_recent(told));
+        let is_recent = |reported_at: &MonoTime| now.saturating_sub(*reported_at) < USE_LIFETIME;
+        let relays = || self.in_flight.values().filter(|(_, reported_at)| is_recent(reported_at));
         let uses = |held: &HeldAdapter| relays().filter_map(|(uses, _)| uses.get(&held.key)).sum();
         self.report.adapters.iter().map(uses).collect()
     }
 
-    /// The last report of the engine.
+    /// Returns the last report of the engine.
     ///
     /// ```
     /// use quillcove_core::relay::loader::LoaderMachine;
@@ -171,7 +175,7 @@
         &self.report
     }
 
-    /// Takes a report of the engine; tells what changed in what it holds.
+    /// Records a report of the engine and returns what changed since the one before.
     ///
     /// ```
     /// use std::time::Duration;
@@ -182,7 +186,8 @@
     /// assert!(!machine.take_report(EngineReport::default(), Duration::ZERO).is_changed);
     /// ```
     pub fn take_report(&mut self, mut report: EngineReport, now: MonoTime) -> ReportChange {
-        // One that leaves does not come to stay; where no start is named, it may be another one by now.
+        // Draining is final for one process start. Without a start time the report may be that of a
+        // new process, so its own flag counts.
         let is_same_start = report.born.is_some() && report.born == self.report.born;
         report.is_leaving |= is_same_start && self.report.is_leaving;
         let is_changed = report.models != self.report.models
@@ -190,28 +195,28 @@
             || report.incoming != self.report.incoming
             || report.is_leaving != self.report.is_leaving;
         let broken = match self.has_restarted(&report) {
-            true => self.forget_engine(),
+            true => self.reset_engine_state(),
             false => Vec::new(),
         };
         self.report = report;
         self.reported_at = Some(now);
         self.first_report_at.get_or_insert(now);
-        let arrived = self.ordered.arrive(&self.report.adapters);
+        let arrived = self.ordered_loads.take_completed(&self.report.adapters);
         if self.report.models.is_empty() {
-            self.known.clear();
+            self.loaded_before.clear();
         }
         let mut change = ReportChange { is_changed, broken, arrived: Vec::new() };
         for load in arrived {
-            let was_warm = !self.known.insert(load.key.clone());
-            self.came_in.insert(load.key.clone(), now);
-            let took = now.saturating_sub(load.at);
+            let was_warm = !self.loaded_before.insert(load.key.clone());
+            self.loaded_at.insert(load.key.clone(), now);
+            let took = now.saturating_sub(load.ordered_at);
             change.arrived.push((load.key, ArrivedLoad { took, was_warm }));
         }
         change
     }
 
-    /// Whether a report is that of an engine which has started since the last one. One that does not say
-    /// when it started has taken fewer orders.
+    /// Returns whether the engine has restarted since its last report. Where a start time is missing, a
+    /// lower count of orders shows a restart.
     fn has_restarted(&self, report: &EngineReport) -> bool {
         match (report.born, self.report.born) {
             (Some(born), Some(before)) => born != before,
@@ -222,7 +227,8 @@
         }
     }
 
-    /// Takes what the engine said of itself with the answer to an order. That it leaves, its reports say as well.
+    /// Records the status that the engine sent with its response to an order. Only a requested pause
+    /// matters here: that the engine is draining is taken from its reports.
     ///
     /// ```
     /// use std::time::Duration;
@@ -235,27 +241,27 @@
     /// assert_eq!(machine.next_order(Duration::ZERO), None);
     /// ```
     pub fn note_said(&mut self, notice: &UpstreamNotice, now: MonoTime) {
-        self.standing.take(notice, Duration::ZERO, now);
+        self.upstream_status.take(notice, Duration::ZERO, now);
     }
 
-    /// Forgets what an engine held and was ordered before it started again. What its host has copies of
-    /// it says itself.
-    /// Forgets what a run of the engine held; gives the loads that were under way at its end.
-    fn forget_engine(&mut self) -> Vec<BrokenLoad> {
-        self.known.clear();
-        self.came_in.clear();
-        self.standing = UpstreamStanding::default();
-        self.ordered.restart(self.report.born)
+    /// Clears the state of an engine that has restarted and returns the loads that were under way when
+    /// it exited. Its reports tell of which base models the host has copies.
+    fn reset_engine_state(&mut self) -> Vec<BrokenLoad> {
+        self.loaded_before.clear();
+        self.loaded_at.clear();
+        self.upstream_status = UpstreamStanding::default();
+        self.ordered_loads.take_broken(self.report.born)
     }
 
-    /// Takes an ask of the keeper. A second ask for the same thing replaces the first.
+    /// Queues a load request of a relay. It replaces a queued request for the same load, and is ignored
+    /// while an order for that load is under way or the queue is full.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::relay::beacon::{EngineReport, LoadAsk};
     /// use quillcove_core::relay::loader::LoaderMachine;
     ///
-    /// let ask = LoadAsk {
+    /// let request = LoadAsk {
     ///     replica: "i-1".into(),
     ///     model: "m".into(),
     ///     adapter: Some("a1".into()),
@@ -264,25 +270,27 @@
     /// };
     /// let mut machine = LoaderMachine::new("e1".into(), 1);
     /// machine.take_report(EngineReport::default(), Duration::ZERO);
-    /// machine.take_ask(ask, Duration::ZERO);
+    /// machine.take_ask(request, Duration::ZERO);
     /// assert!(machine.next_order(Duration::ZERO).is_some());
     /// ```
-    pub fn take_ask(&mut self, ask: LoadAsk, now: MonoTime) {
-        let is_same = |other: &LoadAsk| other.model == ask.model && other.adapter == ask.adapter;
-        if self.under_way.as_ref().is_some_and(|(_, current)| is_same(current)) {
+    pub fn take_ask(&mut self, request: LoadAsk, now: MonoTime) {
+        let is_same =
+            |other: &LoadAsk| other.model == request.model && other.adapter == request.adapter;
+        if self.current_order.as_ref().is_some_and(|(_, current)| is_same(current)) {
             return;
         }
-        if let Some(key) = ask.key() {
-            self.places = Some(ask.places);
-            self.demand.entry(key).or_default().add(now, ASK_WORTH, DEMAND_HALF_LIFE);
+        if let Some(key) = request.key() {
+            self.adapter_slots = Some(request.places);
+            self.demand.entry(key).or_default().add(now, LOAD_REQUEST_WEIGHT, DEMAND_HALF_LIFE);
         }
-        self.asks.retain(|(other, _)| !is_same(other));
-        if self.asks.len() < ASKS_WAITING {
-            self.asks.push_back((ask, now));
+        self.load_requests.retain(|(other, _)| !is_same(other));
+        if self.load_requests.len() < LOAD_REQUEST_LIMIT {
+            self.load_requests.push_back((request, now));
         }
     }
 
-    /// The next order to give, when none is under way and the engine has reported.
+    /// Returns the next order, or `None` while an order is under way, before the first report, while
+    /// the engine is draining or has requested a pause, and while it has no slot for the next load.
     ///
     /// ```
     /// use std::time::Duration;
@@ -291,64 +299,65 @@
     /// assert!(LoaderMachine::new("e1".into(), 1).next_order(Duration::ZERO).is_none());
     /// ```
     pub fn next_order(&mut self, now: MonoTime) -> Option<LoadOrder> {
-        let takes_orders = !self.report.is_leaving && self.standing.rest_end(now).is_none();
-        if self.under_way.is_some() || !takes_orders {
+        let takes_orders = !self.report.is_leaving && self.upstream_status.rest_end(now).is_none();
+        if self.current_order.is_some() || !takes_orders {
             return None;
         }
-        // Before the first report an engine would be taken for empty, but it may have been full for
-        // long: only this process is new.
+        // Before its first report the engine would seem empty although it may be full: only this
+        // process is new.
         let reported_at = self.reported_at?;
-        self.asks.retain(|(_, taken)| now.saturating_sub(*taken) < ASK_LIFETIME);
-        self.ordered.expire(now);
-        while let Some((ask, _)) = self.asks.front() {
-            if self.is_done(ask) {
-                self.asks.pop_front();
+        self.load_requests
+            .retain(|(_, queued_at)| now.saturating_sub(*queued_at) < LOAD_REQUEST_LIFETIME);
+        self.ordered_loads.expire(now);
+        while let Some((request, _)) = self.load_requests.front() {
+            if self.is_satisfied(request) {
+                self.load_requests.pop_front();
                 continue;
             }
-            let evicted = match self.room_for(ask, now) {
-                LoadRoom::Free => None,
-                LoadRoom::Instead(key) => Some(key),
-                LoadRoom::NotYet => return None,
+            let evicted = match self.capacity_for(request, now) {
+                LoadCapacity::Free => None,
+                LoadCapacity::AfterEviction(key) => Some(key),
+                LoadCapacity::Unavailable => return None,
             };
-            let (ask, _) = self.asks.pop_front()?;
-            let basis = self.basis(&ask, now.saturating_sub(reported_at));
-            let order = self.order_for(&ask, evicted, basis);
+            let (request, _) = self.load_requests.pop_front()?;
+            let basis = self.order_basis(&request, now.saturating_sub(reported_at));
+            let order = self.build_order(&request, evicted, basis);
             if order.kind == OrderKind::Load {
-                match ask.key() {
+                match request.key() {
                     Some(key) => {
-                        let least = ask.version.unwrap_or(0);
-                        let replica = ask.replica.clone();
-                        self.ordered.begin(key, least, replica, now);
+                        let min_version = request.version.unwrap_or(0);
+                        let replica = request.replica.clone();
+                        self.ordered_loads.add(key, min_version, replica, now);
                     },
-                    None if self.is_local(&ask) => {},
+                    None if self.is_local(&request) => {},
                     None => self.model_loads.push_back(now),
                 }
             }
-            self.under_way = Some((order.clone(), ask));
+            self.current_order = Some((order.clone(), request));
             return Some(order);
         }
         None
     }
 
-    /// Tells whether the engine's host has a copy of a base model, so that its load takes nothing
-    /// from the weight store and does not count there.
-    fn is_local(&self, ask: &LoadAsk) -> bool {
-        self.report.local_models.contains(&ask.model)
+    /// Returns whether the engine's host has a copy of the base model, so that its load reads nothing
+    /// from the weight store and does not count against the load rate.
+    fn is_local(&self, request: &LoadAsk) -> bool {
+        self.report.local_models.contains(&request.model)
     }
 
-    /// Tells whether the engine already holds, or awaits, what is asked for.
-    fn is_done(&self, ask: &LoadAsk) -> bool {
-        let Some(key) = ask.key() else {
-            return self.report.models.contains(&ask.model);
+    /// Returns whether the engine has already loaded, or is loading, what is requested.
+    fn is_satisfied(&self, request: &LoadAsk) -> bool {
+        let Some(key) = request.key() else {
+            return self.report.models.contains(&request.model);
         };
         let all = self.report.adapters.iter().chain(&self.report.incoming);
-        let version = ask.version.unwrap_or(0);
+        let version = request.version.unwrap_or(0);
         all.into_iter().any(|held| held.key == key && held.version >= version)
     }
 
-    /// Adapters that the engine can take in now beyond those that are asked for: in free places, and for
-    /// those that nobody uses. `None` until an ask told how many places there are, and before the
-    /// first report.
+    /// Returns how many adapters the engine can load beyond the queued load requests, counting free
+    /// slots and those of idle adapters. `None` before the first report, and until a load request has
+    /// given the number of slots.
     ///
     /// ```
     /// use std::time::Duration;
@@ -358,73 +367,80 @@
     /// ```
     pub fn spare_places(&self, now: MonoTime) -> Option<u32> {
         self.reported_at?;
-        let places = self.places? as usize;
-        let free = places.saturating_sub(self.report.adapters.len() + self.coming());
-        let waiting = self.asks.iter().filter(|(ask, _)| ask.adapter.is_some()).count();
+        let slots = self.adapter_slots? as usize;
+        let free = slots.saturating_sub(self.report.adapters.len() + self.incoming_count());
+        let waiting =
+            self.load_requests.iter().filter(|(request, _)| request.adapter.is_some()).count();
         let spare = (free + self.idle_adapters(now).count()).saturating_sub(waiting);
         Some(spare as u32)
     }
 
-    /// Adapters on their way, those included that the engine does not report yet.
-    fn coming(&self) -> usize {
-        self.report.incoming.len() + self.ordered.unseen(&self.report.incoming)
+    /// Returns the number of adapters being loaded, including those ordered but not reported yet.
+    fn incoming_count(&self) -> usize {
+        self.report.incoming.len() + self.ordered_loads.unreported_count(&self.report.incoming)
     }
 
-    /// Tells whether the engine has a place for what is asked for, or what makes room. A new
-    /// version on its way takes a place beside the old one.
-    fn room_for(&self, ask: &LoadAsk, now: MonoTime) -> LoadRoom {
-        if ask.adapter.is_none() {
+    /// Returns whether the engine can start the requested load, and what has to be evicted for it. A new
+    /// version being loaded takes a slot of its own beside the old one.
+    fn capacity_for(&self, request: &LoadAsk, now: MonoTime) -> LoadCapacity {
+        if request.adapter.is_none() {
             return match self.report.models.is_empty() && !self.report.is_busy {
-                true => LoadRoom::Free,
-                false => LoadRoom::NotYet,
+                true => LoadCapacity::Free,
+                false => LoadCapacity::Unavailable,
             };
         }
-        let coming = self.coming();
+        let coming = self.incoming_count();
         if coming >= INCOMING_LIMIT || self.report.is_busy {
-            return LoadRoom::NotYet;
+            return LoadCapacity::Unavailable;
         }
-        if self.report.adapters.len() + coming < ask.places as usize {
-            return LoadRoom::Free;
+        if self.report.adapters.len() + coming < request.places as usize {
+            return LoadCapacity::Free;
         }
-        self.least_wanted(now).map_or(LoadRoom::NotYet, LoadRoom::Instead)
+        self.eviction_candidate(now).map_or(LoadCapacity::Unavailable, LoadCapacity::AfterEviction)
     }
 
-    /// The adapter with the least demand among those that no relay has requests in flight for.
-    fn least_wanted(&self, now: MonoTime) -> Option<AdapterKey> {
+    /// Returns the idle adapter with the least demand.
+    fn eviction_candidate(&self, now: MonoTime) -> Option<AdapterKey> {
         let demand = |key: &AdapterKey| {
             self.demand.get(key).map_or(0.0, |meter| meter.level(now, DEMAND_HALF_LIFE))
         };
         self.idle_adapters(now).min_by(|a, b| demand(a).total_cmp(&demand(b))).cloned()
     }
 
-    /// Adapters that may be taken out: none before relays have told which are in use.
+    /// Returns the adapters that may be evicted: those with no requests in flight that have not been
+    /// loaded just now. There are none until relays had time to report which adapters are in use.
     fn idle_adapters(&self, now: MonoTime) -> impl Iterator<Item = &AdapterKey> {
-        let knows_uses =
-            self.first_report_at.is_some_and(|at| now.saturating_sub(at) >= USES_TOLD_TIME);
-        let is_recent = move |told: &MonoTime| now.saturating_sub(*told) < USE_LIFETIME;
+        let has_use_reports =
+            self.first_report_at.is_some_and(|at| now.saturating_sub(at) >= USE_REPORT_WAIT);
+        let is_recent =
+            move |reported_at: &MonoTime| now.saturating_sub(*reported_at) < USE_LIFETIME;
         let is_used = move |key: &AdapterKey| {
-            self.in_flight.values().any(|(uses, told)| is_recent(told) && uses.contains_key(key))
+            self.in_flight
+                .values()
+                .any(|(uses, reported_at)| is_recent(reported_at) && uses.contains_key(key))
         };
         let is_new = move |key: &AdapterKey| {
-            self.came_in.get(key).is_some_and(|at| now.saturating_sub(*at) < SETTLE_TIME)
+            self.loaded_at.get(key).is_some_and(|at| now.saturating_sub(*at) < SETTLE_TIME)
         };
         let held = self.report.adapters.iter().map(|held| &held.key);
-        held.filter(move |key| knows_uses && !is_used(key) && !is_new(key))
+        held.filter(move |key| has_use_reports && !is_used(key) && !is_new(key))
     }
 
-    /// The order for an ask: what makes room goes first.
-    fn order_for(
+    /// Builds the order for a load request: the unload of `evicted` if one is given, else the load.
+    fn build_order(
         &mut self,
-        ask: &LoadAsk,
+        request: &LoadAsk,
         evicted: Option<AdapterKey>,
         basis: OrderBasis,
     ) -> LoadOrder {
         self.fence += 1;
         let (kind, model, adapter, version) = match evicted {
             Some(key) => (OrderKind::Unload, key.model, Some(key.adapter), None),
-            None => (OrderKind::Load, ask.model.clone(), ask.adapter.clone(), ask.version),
+            None => {
+                (OrderKind::Load, request.model.clone(), request.adapter.clone(), request.version)
+            },
         };
-        let (replica, holder) = (ask.replica.clone(), self.holder.clone());
+        let (replica, holder) = (request.replica.clone(), self.holder.clone());
         LoadOrder {
             kind,
             replica,
@@ -438,17 +454,18 @@
         }
     }
 
-    /// What is known of the engine from a report of this age.
-    fn basis(&self, ask: &LoadAsk, report_age: Duration) -> OrderBasis {
+    /// Returns the state of the engine on which an order is based, for logs.
+    fn order_basis(&self, request: &LoadAsk, report_age: Duration) -> OrderBasis {
         OrderBasis {
             report_age,
             held: self.report.adapters.len(),
-            coming: self.coming(),
-            places: ask.places,
+            coming: self.incoming_count(),
+            places: request.places,
         }
     }
 
-    /// Takes the end of the order under way.
+    /// Records the outcome of the order under way. The load request is queued again, in front, after
+    /// its eviction and when the engine rejected the order as busy or for its fence.
     ///
     /// ```
     /// use std::time::Duration;
@@ -458,29 +475,29 @@
     /// LoaderMachine::new("e1".into(), 1).end_order(OrderOutcome::Begun, Duration::ZERO);
     /// ```
     pub fn end_order(&mut self, outcome: OrderOutcome, now: MonoTime) {
-        let Some((order, ask)) = self.under_way.take() else {
+        let Some((order, request)) = self.current_order.take() else {
             return;
         };
-        let may_have_begun = matches!(outcome, OrderOutcome::Begun | OrderOutcome::Unanswered);
-        if order.kind == OrderKind::Load && !may_have_begun {
-            match ask.key() {
-                Some(key) => self.ordered.cancel(&key),
-                None if self.is_local(&ask) => {},
+        let may_have_started = matches!(outcome, OrderOutcome::Begun | OrderOutcome::Unanswered);
+        if order.kind == OrderKind::Load && !may_have_started {
+            match request.key() {
+                Some(key) => self.ordered_loads.cancel(&key),
+                None if self.is_local(&request) => {},
                 None => drop(self.model_loads.pop_back()),
             }
         }
         match (outcome, order.kind) {
             (OrderOutcome::Begun | OrderOutcome::Holds, OrderKind::Unload)
-            | (OrderOutcome::Busy, _) => self.asks.push_front((ask, now)),
+            | (OrderOutcome::Busy, _) => self.load_requests.push_front((request, now)),
             (OrderOutcome::FenceTooLow, _) => {
                 self.fence += FENCE_STEP;
-                self.asks.push_front((ask, now));
+                self.load_requests.push_front((request, now));
             },
             _ => {},
         }
     }
 
-    /// Ages of the loads of base models begun lately.
+    /// Returns the ages of the base-model loads started within [`MODEL_LOAD_RETENTION`].
     ///
     /// ```
     /// use std::time::Duration;
@@ -489,17 +506,18 @@
     /// assert!(LoaderMachine::new("e1".into(), 1).model_loads(Duration::ZERO).is_empty());
     /// ```
     pub fn model_loads(&mut self, now: MonoTime) -> Vec<Duration> {
-        self.model_loads.retain(|began| now.saturating_sub(*began) < LOADS_KEPT);
-        self.model_loads.iter().map(|began| now.saturating_sub(*began)).collect()
+        self.model_loads
+            .retain(|started_at| now.saturating_sub(*started_at) < MODEL_LOAD_RETENTION);
+        self.model_loads.iter().map(|started_at| now.saturating_sub(*started_at)).collect()
     }
 }
 
-/// Whether an engine has a place for an adapter.
-enum LoadRoom {
-    /// It has.
+/// Whether an engine can start a load.
+enum LoadCapacity {
+    /// It can now.
     Free,
-    /// It has when this one goes.
-    Instead(AdapterKey),
-    /// It has none now.
-    NotYet,
+    /// It can once this adapter has been evicted.
+    AfterEviction(AdapterKey),
+    /// It cannot now.
+    Unavailable,
 }
--- a/quillcove_core/src/relay/loader/ordered.rs
+++ b/quillcove_core/src/relay/loader/ordered.rs
@@ -1,4 +1,4 @@
-//! Loads that were ordered of one engine, until it holds what they bring.
+//! Tracks the adapter loads that were ordered from one engine until its reports show them as loaded.
 
 use std::time::Duration;
 
@@ -6,95 +6,98 @@
 use crate::ids::{AdapterVersion, MonoTime};
 use crate::relay::beacon::{AdapterKey, HeldAdapter, ReplicaId, StartTime};
 
-/// Time after which an ordered load that did not bring its adapter is taken as lost.
+/// Time after which an ordered load that has not completed counts as lost.
 const ORDERED_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Time for which a load that is taken as lost is kept, in case the engine ended under it: an engine is back
-/// some seconds after its end.
+/// Age up to which a lost load is kept, in case the engine exited during it: an engine is back some
+/// seconds after its exit.
 const LOST_LIFETIME: Duration = Duration::from_secs(30);
 
-/// A load that was under way when its engine ended.
+/// A load that was under way when its engine exited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BrokenLoad {
-    /// Which adapter.
+    /// Adapter that was being loaded.
     pub key: AdapterKey,
     /// Version that was ordered; 0 for the newest.
     pub version: AdapterVersion,
-    /// The run of the engine that ended.
+    /// Process start of the engine that exited.
     pub run: ReplicaRun,
 }
 
-/// An adapter whose load was ordered.
+/// An adapter load that was ordered and has not completed.
 #[derive(Clone, Debug)]
 pub(super) struct OrderedLoad {
     pub key: AdapterKey,
-    /// Least version that the load brings; an older one may be there until then.
-    pub least: AdapterVersion,
-    /// The engine's id at that time.
+    /// Minimum version that completes the load; the engine may hold an older one until then.
+    pub min_version: AdapterVersion,
+    /// Replica id of the engine at the time of the order.
     pub replica: ReplicaId,
-    pub at: MonoTime,
-    /// Whether it is no longer waited for.
+    pub ordered_at: MonoTime,
+    /// Whether it has passed [`ORDERED_LIFETIME`] and is kept only to be reported if the engine exited.
     is_lost: bool,
 }
 
 impl OrderedLoad {
-    fn is_met_by(&self, adapters: &[HeldAdapter]) -> bool {
-        adapters.iter().any(|held| held.key == self.key && held.version >= self.least)
+    fn is_completed_by(&self, adapters: &[HeldAdapter]) -> bool {
+        adapters.iter().any(|held| held.key == self.key && held.version >= self.min_version)
     }
 }
 
-/// The loads that were ordered and have not come.
+/// The ordered loads of one engine that have not completed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OrderedLoads {
     loads: Vec<OrderedLoad>,
 }
 
 impl OrderedLoads {
-    pub fn begin(
+    /// Adds a load ordered at `ordered_at`; it replaces a lost one of the same adapter.
+    pub fn add(
         &mut self,
         key: AdapterKey,
-        least: AdapterVersion,
+        min_version: AdapterVersion,
         replica: ReplicaId,
-        at: MonoTime,
+        ordered_at: MonoTime,
     ) {
         self.loads.retain(|load| !load.is_lost || load.key != key);
-        self.loads.push(OrderedLoad { key, least, replica, at, is_lost: false });
+        self.loads.push(OrderedLoad { key, min_version, replica, ordered_at, is_lost: false });
     }
 
-    /// The order for an adapter was not taken.
+    /// Removes the load of an adapter whose order the engine did not accept.
     pub fn cancel(&mut self, key: &AdapterKey) {
         self.loads.retain(|load| load.key != *key);
     }
 
-    /// Gives up what has not come for long.
+    /// Marks overdue loads as lost and drops those older than [`LOST_LIFETIME`].
     pub fn expire(&mut self, now: MonoTime) {
-        let age = |load: &OrderedLoad| now.saturating_sub(load.at);
+        let age = |load: &OrderedLoad| now.saturating_sub(load.ordered_at);
         self.loads.retain(|load| age(load) < LOST_LIFETIME);
         for load in &mut self.loads {
             load.is_lost |= age(load) >= ORDERED_LIFETIME;
         }
     }
 
-    /// Takes what the engine holds now; gives the loads that were waited for and have come.
-    pub fn arrive(&mut self, adapters: &[HeldAdapter]) -> Vec<OrderedLoad> {
-        let (met, left) = self.loads.drain(..).partition(|load| load.is_met_by(adapters));
-        self.loads = left;
-        let met: Vec<OrderedLoad> = met;
-        met.into_iter().filter(|load| !load.is_lost).collect()
+    /// Removes the loads that the engine's adapters complete and returns those that were not lost.
+    pub fn take_completed(&mut self, adapters: &[HeldAdapter]) -> Vec<OrderedLoad> {
+        let (completed, remaining) =
+            self.loads.drain(..).partition(|load| load.is_completed_by(adapters));
+        self.loads = remaining;
+        let completed: Vec<OrderedLoad> = completed;
+        completed.into_iter().filter(|load| !load.is_lost).collect()
     }
 
-    /// The engine has restarted; gives what was under way at the end of its run that started then.
-    pub fn restart(&mut self, born: Option<StartTime>) -> Vec<BrokenLoad> {
+    /// Removes all loads after a restart of the engine and returns them as broken. `born` is the start
+    /// time of the process that exited.
+    pub fn take_broken(&mut self, born: Option<StartTime>) -> Vec<BrokenLoad> {
         let broken = |load: OrderedLoad| BrokenLoad {
             key: load.key,
-            version: load.least,
+            version: load.min_version,
             run: ReplicaRun { replica: load.replica, born },
         };
         self.loads.drain(..).map(broken).collect()
     }
 
-    /// Loads that are waited for, other than those that the engine reports as on their way.
-    pub fn unseen(&self, incoming: &[HeldAdapter]) -> usize {
+    /// Returns the number of loads that are neither lost nor reported by the engine as incoming.
+    pub fn unreported_count(&self, incoming: &[HeldAdapter]) -> usize {
         let is_incoming = |load: &OrderedLoad| incoming.iter().any(|held| held.key == load.key);
         self.loads.iter().filter(|load| !load.is_lost && !is_incoming(load)).count()
     }
