--- a/quillcove_core/src/relay/demand/coming.rs
+++ b/quillcove_core/src/relay/demand/coming.rs
@@ -1,4 +1,5 @@
-//! Adapters that engines report to be on their way, whichever relay asked for them.
+//! Tracks the adapters that engines report as incoming, whichever relay requested them, with the
+//! estimated time at which each will be loaded.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,41 +8,42 @@
 use crate::relay::beacon::AdapterKey;
 use crate::relay::replica::{REPORT_LIFETIME, ReplicaView};
 
-/// An adapter on its way.
+/// An adapter that an engine is loading.
 #[derive(Clone, Debug)]
-struct ComingLoad {
+struct IncomingLoad {
     expected: MonoTime,
     /// When it was last reported.
-    seen: MonoTime,
+    last_seen: MonoTime,
 }
 
-/// When the adapters that are on their way will be there.
+/// The adapters that engines are loading, with their estimated completion.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ComingLoads {
-    loads: BTreeMap<AdapterKey, ComingLoad>,
+pub(super) struct IncomingLoads {
+    loads: BTreeMap<AdapterKey, IncomingLoad>,
 }
 
-impl ComingLoads {
-    /// Takes an engine's report; `load_time` is what a load takes that is seen for the first time.
-    pub(super) fn note(&mut self, view: &ReplicaView, load_time: Duration, now: MonoTime) {
+impl IncomingLoads {
+    /// Records an engine's report. A load that is reported for the first time is expected to complete
+    /// `load_time` from now.
+    pub(super) fn record(&mut self, view: &ReplicaView, load_time: Duration, now: MonoTime) {
         for held in view.adapters(now) {
             self.loads.remove(&held.key);
         }
         let Some(report) = view.report(now) else {
             return;
         };
-        for coming in &report.incoming {
-            let fresh = || ComingLoad { expected: now + load_time, seen: now };
-            self.loads.entry(coming.key.clone()).or_insert_with(fresh).seen = now;
+        for held in &report.incoming {
+            let new_load = || IncomingLoad { expected: now + load_time, last_seen: now };
+            self.loads.entry(held.key.clone()).or_insert_with(new_load).last_seen = now;
         }
     }
 
-    /// Forgets what no engine has reported lately.
-    pub(super) fn tick(&mut self, now: MonoTime) {
-        self.loads.retain(|_, load| now.saturating_sub(load.seen) < REPORT_LIFETIME);
+    /// Drops loads that no engine has reported within [`REPORT_LIFETIME`].
+    pub(super) fn expire(&mut self, now: MonoTime) {
+        self.loads.retain(|_, load| now.saturating_sub(load.last_seen) < REPORT_LIFETIME);
     }
 
-    /// When an adapter on its way will be there.
+    /// Returns the estimated time at which an incoming adapter will be loaded; `None` if it is not incoming.
     pub(super) fn ready_at(&self, key: &AdapterKey, now: MonoTime) -> Option<MonoTime> {
         self.loads.get(key).map(|load| load.expected.max(now))
     }
--- a/quillcove_core/src/relay/demand/mod.rs
+++ b/quillcove_core/src/relay/demand/mod.rs
@@ -1,9 +1,11 @@
-//! Which adapter is asked of which engine, in which order, and when it will be there.
+//! Chooses which missing adapters a relay requests, in which order and from which engine, and
+//! estimates when they will be loaded.
 //!
-//! Each relay decides alone. All relays rank the engines alike for an adapter, so that two of them
-//! ask the same loader, which gives one order; and each counts what all loaders report to be on
-//! its way, so that together they load no more at once than the weight store serves at full
-//! speed. An adapter that was evicted lately goes back to its engine, whose host still has a copy.
+//! Each relay decides alone. All relays rank the engines for an adapter in the same way, so that two
+//! of them send their load requests to the same loader, which gives one order. Each relay counts the
+//! loads that all loaders report as incoming, so that together they load no more at once than the
+//! weight store serves at full speed. A recently evicted adapter goes back to its former engine, whose
+//! host still has a copy.
 
 mod coming;
 mod warm;
@@ -12,8 +14,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use self::coming::ComingLoads;
-use self::warm::WarmCopies;
+use self::coming::IncomingLoads;
+use self::warm::HostCopies;
 use super::beacon::{
     AdapterKey, AddressedAsk, ArrivedLoad, HeldAdapter, LoadAsk, OtherRelays, ReplicaId,
 };
@@ -25,94 +27,95 @@
 use crate::ids::{AdapterVersion, MonoTime, ServiceName};
 use crate::rendezvous;
 
-/// Adapters that an engine takes in at once.
+/// Number of incoming adapters from which an engine ranks behind others.
 const INCOMING_LIMIT: usize = 4;
 
-/// Load at which an engine takes in no further adapters while others do, in shares of its places.
+/// Engine load, as of [`ReplicaView::load`], from which other engines are preferred for an adapter.
 pub(super) const BUSY_LOAD: f64 = 0.8;
 
-/// Differences of backlogs that count when an adapter is placed. Smaller ones are over before the
-/// adapter is there, and relays see them differently.
+/// Step to which prompt backlogs are rounded down when an adapter is placed. Smaller differences are
+/// gone before the adapter is loaded, and relays do not see them alike.
 const BACKLOG_STEP: Duration = Duration::from_millis(250);
 
-/// Time after which an ask that no report shows is sent again; it may have been lost.
-const ASK_AGAIN: Duration = Duration::from_millis(160);
+/// Time after which a load request that no report shows as incoming is repeated, as it may be lost.
+const LOAD_REQUEST_RETRY_DELAY: Duration = Duration::from_millis(160);
 
-/// Asks sent to one engine before another one is asked.
-const ASK_LIMIT: u32 = 3;
+/// Number of times a load request is sent to one engine before another engine is chosen.
+const LOAD_REQUEST_ATTEMPTS: u32 = 3;
 
-/// Time after which an ask is forgotten whatever became of it.
-const ASK_LIFETIME: Duration = Duration::from_secs(4);
+/// Age at which an open load request is dropped, whatever its outcome.
+const LOAD_REQUEST_LIFETIME: Duration = Duration::from_secs(4);
 
-/// Asks of one relay beyond its share that may be open at once, as shares are known with a lag.
+/// Number of open load requests allowed beyond a relay's share, as shares are known with a lag.
 const SHARE_MARGIN: usize = 1;
 
-/// Time of a load from the memory of an engine's host.
-const WARM_LOAD_TIME: Duration = Duration::from_millis(50);
+/// Estimated time of a load from the memory of the engine's host.
+const HOST_COPY_LOAD_TIME: Duration = Duration::from_millis(50);
 
-/// What a request lacks.
+/// An adapter that a request needs and that too few engines have loaded.
 #[derive(Clone, Debug)]
 pub struct LackedAdapter<'a> {
-    /// Which adapter.
+    /// The adapter.
     pub key: &'a AdapterKey,
-    /// Service whose engines should hold it.
+    /// Service whose engines should load it.
     pub service: &'a ServiceName,
-    /// Version that it should have; `None` for the newest.
+    /// Minimum version; `None` accepts any version and loads the newest.
     pub version: Option<AdapterVersion>,
-    /// Until when the request, or its return, has a use for it.
+    /// Time up to which the request, or its retry by the caller, can use the adapter.
     pub useful_until: MonoTime,
-    /// Engines that should hold it.
+    /// Number of engines that should hold it.
     pub holders: usize,
-    /// The engine that holds it for the whole fleet; `None` for one that is wanted in the own cell.
+    /// Its home, the engine that serves it for the whole fleet; `None` to load it in the relay's own cell.
     pub home: Option<&'a ReplicaId>,
 }
 
-/// An adapter that requests lacked.
+/// An adapter that requests need, with the demand for it.
 #[derive(Clone, Debug)]
-struct WantedAdapter {
+struct NeededAdapter {
     service: ServiceName,
-    /// The engine of another cell that is to hold it for the whole fleet.
+    /// The engine, in whichever cell, that is to serve it for the whole fleet.
     home: Option<ReplicaId>,
     version: Option<AdapterVersion>,
-    /// Requests that lacked it since it was last there or useful.
+    /// Requests that needed it since the entry was created.
     requests: u32,
-    since: MonoTime,
+    first_needed_at: MonoTime,
     useful_until: MonoTime,
-    /// Engines that should hold it, those that do already included.
+    /// Number of engines that should hold it, including those that already do.
     holders: usize,
-    /// Whether that many held or awaited it at the last look.
+    /// Whether that many engines had loaded it or were loading it at the last call of
+    /// [`AdapterDemand::pump`].
     is_met: bool,
 }
 
-impl WantedAdapter {
-    /// Place in the order of loads: what most requests lack goes first, and of equals what was
-    /// lacked last, as it can still be in time.
+impl NeededAdapter {
+    /// Returns the sort key of the load order: adapters that most requests need go first; of equals, the
+    /// one first needed most recently, as it can still be loaded in time.
     fn rank(&self) -> (Reverse<u32>, Reverse<MonoTime>) {
-        (Reverse(self.requests), Reverse(self.since))
+        (Reverse(self.requests), Reverse(self.first_needed_at))
     }
 }
 
-/// An adapter that was asked for and is not there yet.
+/// A load request that was sent and has not been met yet.
 #[derive(Clone, Debug)]
-struct OpenAsk {
+struct OpenLoadRequest {
     addressed: AddressedAsk,
     first_sent: MonoTime,
     last_sent: MonoTime,
-    times: u32,
+    attempts: u32,
     ready_at: MonoTime,
 }
 
-/// The engines of a service, for [`AdapterDemand::pump`].
+/// The engines of a service that [`AdapterDemand::pump`] may choose from.
 pub struct EngineChoice<'a> {
-    /// Its name.
+    /// Name of the service.
     pub service: &'a ServiceName,
-    /// What its engines have room for.
+    /// Engine settings of the service, which give the number of adapter slots.
     pub engine: &'a EngineRecord,
-    /// Its engines that take new work and seem to work.
+    /// Engines that accept new requests and seem healthy.
     pub views: Vec<&'a ReplicaView>,
-    /// Engines that are homes of wanted adapters, in whichever cell.
+    /// Engines that are the home of a needed adapter, in whichever cell.
     pub homes: Vec<&'a ReplicaView>,
-    /// What its engines have in common.
+    /// Mean prompt-reading speed and prompt length over the engines of the service.
     pub norm: ReadingNorm,
 }
 
@@ -121,14 +124,14 @@
         self.views.iter().chain(&self.homes)
     }
 
-    /// The home of a wanted adapter, if it has one.
-    fn home_of(&self, wanted: &WantedAdapter) -> Option<&'a ReplicaView> {
-        let home = wanted.home.as_ref()?;
+    /// Returns the home of an adapter, if it has one among these engines.
+    fn home_of(&self, needed: &NeededAdapter) -> Option<&'a ReplicaView> {
+        let home = needed.home.as_ref()?;
         self.homes.iter().find(|view| view.record.id == *home).copied()
     }
 }
 
-/// The adapters that one relay lacks and has asked for.
+/// The adapters that the requests of one relay need, and the load requests sent for them.
 ///
 /// ```
 /// use quillcove_core::relay::demand::AdapterDemand;
@@ -137,17 +140,17 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct AdapterDemand {
-    wanted: BTreeMap<AdapterKey, WantedAdapter>,
-    open: BTreeMap<AdapterKey, OpenAsk>,
-    warm: WarmCopies,
-    coming: ComingLoads,
+    needed: BTreeMap<AdapterKey, NeededAdapter>,
+    open_requests: BTreeMap<AdapterKey, OpenLoadRequest>,
+    host_copies: HostCopies,
+    incoming_loads: IncomingLoads,
     outbox: Vec<AddressedAsk>,
     limiter: LoadLimiter,
-    others: OtherRelays,
+    other_relays: OtherRelays,
 }
 
 impl AdapterDemand {
-    /// Takes what is known of the other relays.
+    /// Sets the state of the other relays, from which this relay's share of the loads follows.
     ///
     /// ```
     /// use quillcove_core::relay::beacon::OtherRelays;
@@ -156,10 +159,10 @@
     /// AdapterDemand::default().set_others(OtherRelays { count: 3, recent: 3, lacking: 20 });
     /// ```
     pub fn set_others(&mut self, others: OtherRelays) {
-        self.others = others;
+        self.other_relays = others;
     }
 
-    /// The homes of wanted adapters.
+    /// Returns the homes of the needed adapters.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
@@ -167,10 +170,10 @@
     /// assert_eq!(AdapterDemand::default().homes().count(), 0);
     /// ```
     pub fn homes(&self) -> impl Iterator<Item = &ReplicaId> {
-        self.wanted.values().filter_map(|wanted| wanted.home.as_ref())
+        self.needed.values().filter_map(|needed| needed.home.as_ref())
     }
 
-    /// Tells whether any adapter is wanted.
+    /// Returns whether any adapter is needed.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
@@ -178,10 +181,11 @@
     /// assert!(!AdapterDemand::default().has_wanted());
     /// ```
     pub fn has_wanted(&self) -> bool {
-        !self.wanted.is_empty()
+        !self.needed.is_empty()
     }
 
-    /// Adapters that requests of this relay lack, those that it has asked for included.
+    /// Returns the number of adapters that requests of this relay are missing, including those with an
+    /// open load request.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
@@ -189,24 +193,24 @@
     /// assert_eq!(AdapterDemand::default().lacking(), 0);
     /// ```
     pub fn lacking(&self) -> usize {
-        let is_waiting = |(key, wanted): &(&AdapterKey, &WantedAdapter)| {
-            !wanted.is_met && !self.open.contains_key(*key)
+        let is_waiting = |(key, needed): &(&AdapterKey, &NeededAdapter)| {
+            !needed.is_met && !self.open_requests.contains_key(*key)
         };
-        self.open.len() + self.wanted.iter().filter(is_waiting).count()
+        self.open_requests.len() + self.needed.iter().filter(is_waiting).count()
     }
 
-    /// This relay's part of the loads that may be on their way at once: by how much it lacks against
-    /// all relays, as traffic is not even.
+    /// Returns this relay's share of the concurrent loads, in loads. It is proportional to the relay's
+    /// part of all missing adapters, as traffic is uneven between relays.
     fn share(&self) -> f64 {
         let limit = self.limiter.limit() as f64;
         let own = self.lacking() as f64;
-        let all = own + self.others.lacking as f64;
-        let even = 1.0 / (self.others.count + 1) as f64;
+        let all = own + self.other_relays.lacking as f64;
+        let even = 1.0 / (self.other_relays.count + 1) as f64;
         let part = if all > 0.0 { own / all } else { even };
         (limit * part).max(1.0)
     }
 
-    /// The asks to send now.
+    /// Removes and returns the load requests to send now.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
@@ -217,7 +221,7 @@
         std::mem::take(&mut self.outbox)
     }
 
-    /// Tells whether there are asks to send.
+    /// Returns whether there are load requests to send.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
@@ -228,7 +232,7 @@
         !self.outbox.is_empty()
     }
 
-    /// Loads that may be on their way over the whole site, as far as this relay has learnt.
+    /// Returns the number of concurrent loads allowed over the whole site, as learnt from load times.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
@@ -239,7 +243,7 @@
         self.limiter.limit()
     }
 
-    /// Time of a load from the weight store, as far as this relay has learnt.
+    /// Returns the time of a load from the weight store, as learnt from load times.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
@@ -250,7 +254,7 @@
         self.limiter.load_time()
     }
 
-    /// Takes what an engine holds now: asks that it meets are done.
+    /// Records the adapters of an engine and removes the load requests and needs that they meet.
     ///
     /// ```
     /// use std::time::Duration;
@@ -262,39 +266,39 @@
     /// AdapterDemand::default().note_held(table.get("i-1").unwrap(), Duration::ZERO);
     /// ```
     pub fn note_held(&mut self, view: &ReplicaView, now: MonoTime) {
-        self.warm.note(view, now);
-        self.coming.note(view, self.limiter.load_time(), now);
+        self.host_copies.record(view, now);
+        self.incoming_loads.record(view, self.limiter.load_time(), now);
         for held in view.adapters(now) {
-            let is_answered = self.open.get(&held.key).is_some_and(|open| {
-                let ask = &open.addressed.ask;
+            let is_request_met = self.open_requests.get(&held.key).is_some_and(|request| {
+                let ask = &request.addressed.ask;
                 ask.replica == view.record.id && held.version >= ask.version.unwrap_or(0)
             });
-            let is_enough = self.wanted.get(&held.key).is_some_and(|wanted| {
-                wanted.holders <= 1 && held.version >= wanted.version.unwrap_or(0)
+            let is_need_met = self.needed.get(&held.key).is_some_and(|needed| {
+                needed.holders <= 1 && held.version >= needed.version.unwrap_or(0)
             });
-            if is_answered {
-                self.open.remove(&held.key);
+            if is_request_met {
+                self.open_requests.remove(&held.key);
             }
-            if is_answered || is_enough {
-                self.wanted.remove(&held.key);
+            if is_request_met || is_need_met {
+                self.needed.remove(&held.key);
             }
         }
     }
 
-    /// Takes the times of loads that have ended; `at_once` were on their way over the whole site.
+    /// Records the times of completed loads; `concurrent_loads` were under way over the whole site.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
     ///
     /// AdapterDemand::default().note_arrivals(&[], 0);
     /// ```
-    pub fn note_arrivals(&mut self, arrivals: &[ArrivedLoad], at_once: usize) {
+    pub fn note_arrivals(&mut self, arrivals: &[ArrivedLoad], concurrent_loads: usize) {
         for load in arrivals.iter().filter(|load| !load.was_warm) {
-            self.limiter.note_load(load.took, at_once + arrivals.len());
+            self.limiter.note_load(load.took, concurrent_loads + arrivals.len());
         }
     }
 
-    /// Forgets what is known of an engine that is gone or lost its memory.
+    /// Drops the known host copies of an engine that is gone or has lost its memory.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
@@ -302,10 +306,11 @@
     /// AdapterDemand::default().forget_engine("i-1");
     /// ```
     pub fn forget_engine(&mut self, replica: &str) {
-        self.warm.forget(replica);
+        self.host_copies.remove(replica);
     }
 
-    /// Forgets an engine that leaves, and what was asked of it, so that it is asked of others at once.
+    /// Drops the state and the open load requests of an engine that is draining, so that its loads are
+    /// requested from other engines at once.
     ///
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
@@ -314,10 +319,10 @@
     /// ```
     pub fn leave_engine(&mut self, replica: &str) {
         self.forget_engine(replica);
-        self.open.retain(|_, open| open.addressed.ask.replica != replica);
+        self.open_requests.retain(|_, request| request.addressed.ask.replica != replica);
     }
 
-    /// Forgets asks and wants whose time is over.
+    /// Drops load requests, needs and reported loads that have expired.
     ///
     /// ```
     /// use std::time::Duration;
@@ -326,12 +331,14 @@
     /// AdapterDemand::default().tick(Duration::ZERO);
     /// ```
     pub fn tick(&mut self, now: MonoTime) {
-        self.open.retain(|_, ask| now.saturating_sub(ask.first_sent) < ASK_LIFETIME);
-        self.wanted.retain(|_, wanted| now < wanted.useful_until);
-        self.coming.tick(now);
+        self.open_requests
+            .retain(|_, request| now.saturating_sub(request.first_sent) < LOAD_REQUEST_LIFETIME);
+        self.needed.retain(|_, needed| now < needed.useful_until);
+        self.incoming_loads.expire(now);
     }
 
-    /// Notes that a request lacks an adapter; `is_new` on its first look only.
+    /// Records that a request needs an adapter. `is_new` is set on the request's first call only, so that
+    /// it counts once.
     ///
     /// ```
     /// use std::time::Duration;
@@ -351,29 +358,29 @@
     /// AdapterDemand::default().want(&lacked, true, Duration::ZERO);
     /// ```
     pub fn want(&mut self, lacked: &LackedAdapter<'_>, is_new: bool, now: MonoTime) {
-        let fresh = || WantedAdapter {
+        let new_need = || NeededAdapter {
             service: lacked.service.clone(),
             home: lacked.home.cloned(),
             version: lacked.version,
             requests: 0,
-            since: now,
+            first_needed_at: now,
             useful_until: lacked.useful_until,
             holders: lacked.holders,
             is_met: false,
         };
-        let wanted = self.wanted.entry(lacked.key.clone()).or_insert_with(fresh);
+        let needed = self.needed.entry(lacked.key.clone()).or_insert_with(new_need);
         if lacked.home.is_none() {
-            wanted.home = None;
+            needed.home = None;
         }
-        wanted.version = wanted.version.max(lacked.version);
-        wanted.useful_until = wanted.useful_until.max(lacked.useful_until);
-        wanted.holders = wanted.holders.max(lacked.holders);
+        needed.version = needed.version.max(lacked.version);
+        needed.useful_until = needed.useful_until.max(lacked.useful_until);
+        needed.holders = needed.holders.max(lacked.holders);
         if is_new {
-            wanted.requests += 1;
+            needed.requests += 1;
         }
     }
 
-    /// When a wanted adapter will be there, as things stand.
+    /// Returns the estimated time at which an adapter will be loaded.
     ///
     /// ```
     /// use std::time::Duration;
@@ -384,26 +391,26 @@
     /// assert!(AdapterDemand::default().ready_at(&key, Duration::ZERO) > Duration::ZERO);
     /// ```
     pub fn ready_at(&self, key: &AdapterKey, now: MonoTime) -> MonoTime {
-        if let Some(open) = self.open.get(key) {
-            return open.ready_at.max(now);
+        if let Some(request) = self.open_requests.get(key) {
+            return request.ready_at.max(now);
         }
-        if let Some(expected) = self.coming.ready_at(key, now) {
+        if let Some(expected) = self.incoming_loads.ready_at(key, now) {
             return expected;
         }
-        let own = self.wanted.get(key).map(WantedAdapter::rank);
-        let is_ahead = |(other, wanted): &(&AdapterKey, &WantedAdapter)| {
-            let goes_first = own.is_none_or(|own| (wanted.rank(), *other) < (own, key));
-            let is_coming =
-                self.open.contains_key(*other) || self.coming.ready_at(other, now).is_some();
-            goes_first && !is_coming && !wanted.is_met && now < wanted.useful_until
+        let own = self.needed.get(key).map(NeededAdapter::rank);
+        let is_ahead = |(other, needed): &(&AdapterKey, &NeededAdapter)| {
+            let goes_first = own.is_none_or(|own| (needed.rank(), *other) < (own, key));
+            let is_incoming = self.open_requests.contains_key(*other)
+                || self.incoming_loads.ready_at(other, now).is_some();
+            goes_first && !is_incoming && !needed.is_met && now < needed.useful_until
         };
-        let ahead = self.wanted.iter().filter(is_ahead).count() + 1;
+        let ahead = self.needed.iter().filter(is_ahead).count() + 1;
         let load_time = self.limiter.load_time();
         now + load_time + load_time.mul_f64(ahead as f64 / self.share())
     }
 
-    /// Asks for the adapters that are lacked most, as long as the weight store serves more loads at
-    /// full speed.
+    /// Queues load requests for the adapters that most requests need, as long as the weight store serves
+    /// more loads at full speed. Loads from a host's copy do not depend on that.
     ///
     /// ```
     /// use std::time::Duration;
@@ -416,188 +423,201 @@
         if !self.has_wanted() {
             return;
         }
-        self.repeat_asks(choices, now);
+        self.retry_requests(choices, now);
         let views = || choices.iter().flat_map(|choice| &choice.views);
-        let mut on_the_way: usize = views().map(|view| self.on_the_way(view, now)).sum();
+        let mut incoming_count: usize = views().map(|view| self.incoming_count(view, now)).sum();
         let share = self.share().ceil() as usize + SHARE_MARGIN;
-        for key in self.ranked(now) {
-            let is_met = self.has_enough(&key, choices, now);
-            if let Some(wanted) = self.wanted.get_mut(&key) {
-                wanted.is_met = is_met;
+        for key in self.ranked_needs(now) {
+            let is_met = self.has_enough_copies(&key, choices, now);
+            if let Some(needed) = self.needed.get_mut(&key) {
+                needed.is_met = is_met;
             }
             if is_met {
                 continue;
             }
-            let Some((view, places, is_warm)) = self.place(&key, choices, placement, now) else {
+            let Some((view, slots, has_copy)) = self.choose_engine(&key, choices, placement, now)
+            else {
                 continue;
             };
-            let has_room = on_the_way < self.limiter.limit() && self.cold_asks(now) < share;
-            if !is_warm && !has_room {
+            let has_room =
+                incoming_count < self.limiter.limit() && self.pending_request_count(now) < share;
+            if !has_copy && !has_room {
                 continue;
             }
-            self.send(&key, view, places, is_warm, now);
-            on_the_way += 1;
+            self.queue_request(&key, view, slots, has_copy, now);
+            incoming_count += 1;
         }
     }
 
-    /// Tells whether as many engines as should hold an adapter do, or await it. Another relay may
-    /// have asked for it since it was wanted here.
-    fn has_enough(&self, key: &AdapterKey, choices: &[EngineChoice<'_>], now: MonoTime) -> bool {
-        let Some(wanted) = self.wanted.get(key) else {
+    /// Returns whether enough engines hold an adapter or are loading it. Another relay may have requested
+    /// it since it was first needed here.
+    fn has_enough_copies(
+        &self,
+        key: &AdapterKey,
+        choices: &[EngineChoice<'_>],
+        now: MonoTime,
+    ) -> bool {
+        let Some(needed) = self.needed.get(key) else {
             return true;
         };
-        let least = wanted.version.unwrap_or(0);
-        let meets = |held: &HeldAdapter| held.key == *key && held.version >= least;
+        let min_version = needed.version.unwrap_or(0);
+        let meets = |held: &HeldAdapter| held.key == *key && held.version >= min_version;
         let has = |view: &&ReplicaView| {
             let incoming = view.report(now).map_or(&[][..], |report| &report.incoming);
             view.adapters(now).iter().chain(incoming).any(meets)
         };
-        let of_service = choices.iter().find(|choice| *choice.service == wanted.service);
+        let of_service = choices.iter().find(|choice| *choice.service == needed.service);
         let is_at_home = of_service
-            .and_then(|choice| choice.home_of(wanted))
+            .and_then(|choice| choice.home_of(needed))
             .is_some_and(|home| home.report(now).is_some() && has(&home));
         let views = of_service.into_iter().flat_map(|choice| choice.views.iter().copied());
-        is_at_home || views.filter(has).count() >= wanted.holders
+        is_at_home || views.filter(has).count() >= needed.holders
     }
 
-    /// Asks that were sent and have not been met; old ones may have been lost.
-    fn cold_asks(&self, now: MonoTime) -> usize {
-        let is_recent = |open: &&OpenAsk| now < open.ready_at + ASK_AGAIN;
-        self.open.values().filter(is_recent).count()
+    /// Returns the number of open load requests that are not overdue; overdue ones may have been lost.
+    fn pending_request_count(&self, now: MonoTime) -> usize {
+        let is_recent =
+            |request: &&OpenLoadRequest| now < request.ready_at + LOAD_REQUEST_RETRY_DELAY;
+        self.open_requests.values().filter(is_recent).count()
     }
 
-    /// Adapters that are wanted and not asked for, in the order of loads.
-    fn ranked(&self, now: MonoTime) -> Vec<AdapterKey> {
-        let is_due = |(key, wanted): &(&AdapterKey, &WantedAdapter)| {
-            now < wanted.useful_until && !self.open.contains_key(*key)
+    /// Returns the needed adapters without an open load request, in load order.
+    fn ranked_needs(&self, now: MonoTime) -> Vec<AdapterKey> {
+        let is_due = |(key, needed): &(&AdapterKey, &NeededAdapter)| {
+            now < needed.useful_until && !self.open_requests.contains_key(*key)
         };
-        let mut ranked: Vec<_> = self.wanted.iter().filter(is_due).collect();
-        ranked.sort_by_key(|(key, wanted)| (wanted.rank(), *key));
+        let mut ranked: Vec<_> = self.needed.iter().filter(is_due).collect();
+        ranked.sort_by_key(|(key, needed)| (needed.rank(), *key));
         ranked.into_iter().map(|(key, _)| key.clone()).collect()
     }
 
-    /// Sends asks again that no report shows, and gives up engines that do not react.
-    fn repeat_asks(&mut self, choices: &[EngineChoice<'_>], now: MonoTime) {
+    /// Repeats load requests that no report shows as incoming, and drops those whose engine does not
+    /// react, so that another engine can be chosen.
+    fn retry_requests(&mut self, choices: &[EngineChoice<'_>], now: MonoTime) {
         let views: Vec<&ReplicaView> =
             choices.iter().flat_map(EngineChoice::all).copied().collect();
-        let mut given_up = Vec::new();
-        for (key, open) in &mut self.open {
-            let replica = &open.addressed.ask.replica;
+        let mut abandoned = Vec::new();
+        for (key, request) in &mut self.open_requests {
+            let replica = &request.addressed.ask.replica;
             let target = views.iter().find(|view| view.record.id == *replica);
-            let is_seen = target.is_some_and(|view| is_incoming(view, key, now));
-            if is_seen || now.saturating_sub(open.last_sent) < ASK_AGAIN {
+            let is_reported = target.is_some_and(|view| is_incoming(view, key, now));
+            if is_reported || now.saturating_sub(request.last_sent) < LOAD_REQUEST_RETRY_DELAY {
                 continue;
             }
-            let wanted = self.wanted.get_mut(key).filter(|wanted| wanted.home.is_some());
-            if let Some(wanted) = wanted {
-                // Its home is silent; the request waits, so that an engine of the own cell is asked.
-                wanted.home = None;
-                given_up.push(key.clone());
+            let needed = self.needed.get_mut(key).filter(|needed| needed.home.is_some());
+            if let Some(needed) = needed {
+                // The home does not react. A request waits for the adapter, so an engine of the relay's
+                // own cell is chosen instead.
+                needed.home = None;
+                abandoned.push(key.clone());
                 continue;
             }
-            if target.is_none() || open.times >= ASK_LIMIT {
-                given_up.push(key.clone());
+            if target.is_none() || request.attempts >= LOAD_REQUEST_ATTEMPTS {
+                abandoned.push(key.clone());
                 continue;
             }
-            open.times += 1;
-            open.last_sent = now;
-            self.outbox.push(open.addressed.clone());
+            request.attempts += 1;
+            request.last_sent = now;
+            self.outbox.push(request.addressed.clone());
         }
-        for key in given_up {
-            self.open.remove(&key);
+        for key in abandoned {
+            self.open_requests.remove(&key);
         }
     }
 
-    fn send(
+    fn queue_request(
         &mut self,
         key: &AdapterKey,
         view: &ReplicaView,
-        places: usize,
-        is_warm: bool,
+        slots: usize,
+        has_copy: bool,
         now: MonoTime,
     ) {
         let ask = LoadAsk {
             replica: view.record.id.clone(),
             model: key.model.clone(),
             adapter: Some(key.adapter.clone()),
-            version: self.wanted.get(key).and_then(|wanted| wanted.version),
-            places: places as u32,
+            version: self.needed.get(key).and_then(|needed| needed.version),
+            places: slots as u32,
         };
         let addressed = AddressedAsk { engine: view.record.address, ask };
-        let load_time = if is_warm { WARM_LOAD_TIME } else { self.limiter.load_time() };
-        let open = OpenAsk {
+        let load_time = if has_copy { HOST_COPY_LOAD_TIME } else { self.limiter.load_time() };
+        let request = OpenLoadRequest {
             addressed: addressed.clone(),
             first_sent: now,
             last_sent: now,
-            times: 1,
+            attempts: 1,
             ready_at: now + load_time,
         };
-        self.open.insert(key.clone(), open);
+        self.open_requests.insert(key.clone(), request);
         self.outbox.push(addressed);
     }
 
-    /// The engine that ranks first for an adapter, with its places, and whether its host has a
-    /// copy. Engines with a copy go first, then those with a free place; engines that are busy
-    /// come last.
-    fn place<'a>(
+    /// Chooses the engine for an adapter; returns it with its number of adapter slots and whether its
+    /// host has a copy. A home is chosen outright. Other engines are ranked by, in this order: no older
+    /// version loaded, not overloaded, a copy on the host, a short backlog (under
+    /// [`PlacementRule::SpareIdle`]), a free slot, and a rendezvous hash.
+    fn choose_engine<'a>(
         &self,
         key: &AdapterKey,
         choices: &'a [EngineChoice<'a>],
         placement: PlacementRule,
         now: MonoTime,
     ) -> Option<(&'a ReplicaView, usize, bool)> {
-        let wanted = self.wanted.get(key)?;
-        let choice = choices.iter().find(|choice| *choice.service == wanted.service)?;
-        let places = choice.engine.places_beside(&key.model);
-        if let Some(home) = choice.home_of(wanted) {
-            return Some((home, places, self.warm.has(&home.record.id, key)));
+        let needed = self.needed.get(key)?;
+        let choice = choices.iter().find(|choice| *choice.service == needed.service)?;
+        let slots = choice.engine.places_beside(&key.model);
+        if let Some(home) = choice.home_of(needed) {
+            return Some((home, slots, self.host_copies.contains(&home.record.id, key)));
         }
         let can_take = |view: &&&ReplicaView| {
             let report = view.report(now);
             let held = view.version_of(key, now);
-            let has_place = !placement.needs_spare() || self.has_spare(view, now);
-            has_place
+            let has_slot = !placement.needs_spare() || self.has_spare_slot(view, now);
+            has_slot
                 && report
                     .is_some_and(|report| report.models.contains(&key.model) && !report.is_busy)
-                && held.is_none_or(|held| held < wanted.version.unwrap_or(0))
+                && held.is_none_or(|held| held < needed.version.unwrap_or(0))
         };
         let rank = |view: &ReplicaView| {
-            let coming = self.on_the_way(view, now);
+            let incoming = self.incoming_count(view, now);
             let backlog = view.reading.backlog(&choice.norm);
-            let is_overrun = coming >= INCOMING_LIMIT || view.load(now) >= BUSY_LOAD;
-            let busy = match placement {
+            let is_overloaded = incoming >= INCOMING_LIMIT || view.load(now) >= BUSY_LOAD;
+            let backlog_steps = match placement {
                 PlacementRule::SpareIdle => backlog.as_millis() / BACKLOG_STEP.as_millis(),
                 PlacementRule::Spare | PlacementRule::Even => 0,
             };
-            let is_full = view.adapters(now).len() + coming >= places;
+            let is_full = view.adapters(now).len() + incoming >= slots;
             let weight = rendezvous::weight(&key.adapter, &view.record.address.to_string());
-            // An engine replaces a version only when its runs are over, and takes no new ones until then.
+            // An engine replaces a version only when its running requests have ended, and accepts no new
+            // ones until then.
             let holds_older = view.version_of(key, now).is_some();
-            let is_cold = !self.warm.has(&view.record.id, key);
-            (holds_older, is_overrun, is_cold, busy, is_full, Reverse(weight))
+            let lacks_copy = !self.host_copies.contains(&view.record.id, key);
+            (holds_older, is_overloaded, lacks_copy, backlog_steps, is_full, Reverse(weight))
         };
         let view = choice.views.iter().filter(can_take).min_by_key(|view| rank(view)).copied()?;
-        Some((view, places, self.warm.has(&view.record.id, key)))
+        Some((view, slots, self.host_copies.contains(&view.record.id, key)))
     }
 
-    /// Tells whether an engine can take in one more adapter now, as far as its loader told.
-    fn has_spare(&self, view: &ReplicaView, now: MonoTime) -> bool {
-        let asked = self.unseen_asks(view, now);
-        view.spare_places(now).is_none_or(|spare| (spare as usize) > asked)
+    /// Returns whether an engine can load one more adapter now, according to its loader's last report.
+    fn has_spare_slot(&self, view: &ReplicaView, now: MonoTime) -> bool {
+        let requested = self.unreported_count(view, now);
+        view.spare_places(now).is_none_or(|spare| (spare as usize) > requested)
     }
 
-    /// Asks to an engine that its reports do not show yet.
-    fn unseen_asks(&self, view: &ReplicaView, now: MonoTime) -> usize {
-        let is_unseen = |(key, open): &(&AdapterKey, &OpenAsk)| {
-            open.addressed.ask.replica == view.record.id && !is_incoming(view, key, now)
+    /// Returns the number of open load requests to an engine that its reports do not show yet.
+    fn unreported_count(&self, view: &ReplicaView, now: MonoTime) -> usize {
+        let is_unreported = |(key, request): &(&AdapterKey, &OpenLoadRequest)| {
+            request.addressed.ask.replica == view.record.id && !is_incoming(view, key, now)
         };
-        self.open.iter().filter(is_unseen).count()
+        self.open_requests.iter().filter(is_unreported).count()
     }
 
-    /// Adapters on their way to an engine: those that it reports, and those asked for since.
-    fn on_the_way(&self, view: &ReplicaView, now: MonoTime) -> usize {
+    /// Returns the number of loads under way on an engine: those that it reports as incoming, and those
+    /// requested since.
+    fn incoming_count(&self, view: &ReplicaView, now: MonoTime) -> usize {
         let reported = view.report(now).map_or(0, |report| report.incoming.len());
-        reported + self.unseen_asks(view, now)
+        reported + self.unreported_count(view, now)
     }
 }
 
