--- a/quillcove_core/src/relay/beacon.rs
+++ b/quillcove_core/src/relay/beacon.rs
@@ -1,4 +1,4 @@
-//! What relays and loaders tell each other, each message small enough for one datagram.
+//! Messages that relays and loaders send to each other, each small enough for one datagram.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,65 +13,66 @@
 use crate::ids::{AdapterName, AdapterVersion, HallName, HostId, ModelName};
 use crate::standing::limit::RateLimit;
 
-/// Names a replica, as the platform lists it. It may start again under the same id.
+/// Id of a replica in the platform's listing. A replica may restart under the same id.
 pub type ReplicaId = String;
 
-/// When a replica started, in milliseconds of the wall clock; later ones are restarts.
+/// Start time of a replica's process, in milliseconds of the wall clock. A later one under the same id is
+/// a restart.
 pub type StartTime = u64;
 
-/// Number of orders that an engine has taken since its start.
+/// Number of orders that an engine has accepted since its start.
 pub type OrderCount = u64;
 
-/// Names an adapter of a base model.
+/// Identifies an adapter of a base model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AdapterKey {
-    /// Base model.
+    /// Name of the base model.
     pub model: ModelName,
-    /// Adapter.
+    /// Name of the adapter.
     pub adapter: AdapterName,
 }
 
-/// One adapter in an engine.
+/// An adapter that an engine holds or is loading.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldAdapter {
-    /// Which adapter.
+    /// The adapter.
     pub key: AdapterKey,
     /// Its version.
     pub version: AdapterVersion,
 }
 
-/// What an engine says of itself.
+/// An engine's report of its state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// When it started; `None` for an engine that does not say.
+    /// Start time of its process; `None` if the engine does not report it.
     pub born: Option<StartTime>,
-    /// Base models that it holds.
+    /// Base models that are loaded.
     pub models: Vec<ModelName>,
-    /// Base models that its host has a copy of, in memory or on disk, so that a load takes nothing
-    /// from the weight store.
+    /// Base models of which its host has a copy, in memory or on disk, so that a load reads nothing from
+    /// the weight store.
     pub local_models: Vec<ModelName>,
-    /// Adapters that it holds.
+    /// Adapters that are loaded.
     pub adapters: Vec<HeldAdapter>,
-    /// Adapters on their way.
+    /// Adapters that are being loaded.
     pub incoming: Vec<HeldAdapter>,
-    /// Whether an order is under way that excludes others.
+    /// Whether an order is under way during which the engine accepts no other.
     pub is_busy: bool,
-    /// Orders that it has taken since its start; `None` for an engine that does not count them.
+    /// Orders accepted since its start; `None` if the engine does not count them.
     pub orders_taken: Option<OrderCount>,
-    /// Requests that run.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests waiting in the engine's queue.
     pub waiting: u32,
-    /// Tokens of prompts and answers in memory that can not give way.
+    /// Tokens of prompts and responses in memory that cannot be evicted.
     pub tokens_used: u64,
-    /// Tokens that the memory holds.
+    /// Capacity of the memory, in tokens.
     pub tokens_total: u64,
-    /// The engine says that it leaves.
+    /// Whether the engine reports that it is draining.
     pub is_leaving: bool,
 }
 
 impl EngineReport {
-    /// The version in which an adapter is held; 0 where it is not.
+    /// Returns the version in which an adapter is loaded; 0 if it is not loaded.
     ///
     /// ```
     /// use quillcove_core::relay::beacon::{AdapterKey, EngineReport};
@@ -85,174 +86,176 @@
     }
 }
 
-/// An adapter that came into an engine.
+/// A completed load of an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ArrivedLoad {
-    /// Time from the order until the engine reported it.
+    /// Time from the order until the engine reported the adapter as loaded.
     pub took: Duration,
     /// Whether the engine had held it before, so that its host still had a copy.
     pub was_warm: bool,
 }
 
-/// A loader's report on its engine.
+/// Full heartbeat of a loader, with the report of its engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineBeacon {
-    /// Host of loader and engine.
+    /// Host on which loader and engine run.
     pub host: HostId,
-    /// Where callers reach the engine.
+    /// Address at which the engine serves requests.
     pub engine: SocketAddr,
-    /// Grows with each beacon of one loader process, so that late ones are dropped.
+    /// Sequence number, increased with each heartbeat of a loader process, so that receivers drop late
+    /// ones.
     pub number: u64,
-    /// Random number of the loader process.
+    /// Random number that the loader process draws at its start.
     pub incarnation: u64,
-    /// Grows with each change of what the engine holds, so that gauges tell to which report they
-    /// belong.
+    /// Increased with each change of the models and adapters of the engine, so that a gauge heartbeat
+    /// identifies the report to which it belongs.
     pub content: u64,
-    /// The engine's own words, less what only its loader needs.
+    /// The engine's report, without the fields that only its loader needs.
     #[serde(with = "super::packed")]
     pub report: EngineReport,
-    /// Requests in flight for each adapter of the report, in its order, over all relays.
+    /// Requests in flight for each adapter of the report, in the report's order, over all relays.
     pub uses: Vec<u32>,
-    /// Ages of the loads of base models that this loader began lately.
+    /// Ages of the base-model loads that this loader has recently started.
     pub model_loads: Vec<Duration>,
-    /// Adapters that came in since the last beacon.
+    /// Adapter loads completed since the last heartbeat.
     pub arrivals: Vec<ArrivedLoad>,
-    /// Adapters that the engine can take in now, in free places or for ones that nobody uses; `None`
-    /// until the loader knows how many places there are.
+    /// Number of adapters that the engine can load now, into free slots or in place of unused adapters;
+    /// `None` until the loader knows the number of slots.
     pub spare_places: Option<u32>,
-    /// Some of the relays that the loader has heard lately, others with each beacon.
+    /// Some of the relays from which the loader has recently received messages, others with each
+    /// heartbeat.
     pub relays: Vec<SocketAddr>,
 }
 
-/// What changes of an engine with each request.
+/// The parts of an engine's state that change with each request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineGauges {
-    /// Requests that run.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests waiting in the engine's queue.
     pub waiting: u32,
-    /// Whether an order is under way that excludes others.
+    /// Whether an order is under way during which the engine accepts no other.
     pub is_busy: bool,
-    /// Adapters that the engine can take in now, as in [`EngineBeacon::spare_places`].
+    /// Number of adapters that the engine can load now, as in [`EngineBeacon::spare_places`].
     pub spare_places: Option<u32>,
     /// Requests in flight for each adapter, as in [`EngineBeacon::uses`].
     pub uses: Vec<u32>,
 }
 
-/// A loader's report on an engine that still holds what the last whole report said. Of the bytes of
-/// a whole report it takes about a fifth.
+/// Short heartbeat of a loader whose engine has the same models and adapters as in the last full
+/// heartbeat. It takes about a fifth of the bytes of a full one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GaugeBeacon {
-    /// Where callers reach the engine.
+    /// Address at which the engine serves requests.
     pub engine: SocketAddr,
-    /// Grows with each beacon of one loader process, whole or not.
+    /// Sequence number, shared with the full heartbeats of the loader process.
     pub number: u64,
-    /// Random number of the loader process.
+    /// Random number that the loader process draws at its start.
     pub incarnation: u64,
-    /// Which content the gauges belong to, as in [`EngineBeacon::content`].
+    /// Content to which the gauges belong, as in [`EngineBeacon::content`].
     pub content: u64,
-    /// The gauges.
+    /// Current values.
     pub gauges: EngineGauges,
 }
 
-/// A relay's wish for a whole report, as it has not had the one that the gauges belong to.
+/// A relay's request for a full heartbeat, sent when it lacks the report to which gauges belong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResendAsk {
-    /// Where the relay wants the report.
+    /// Address to which the heartbeat is to be sent.
     pub relay: SocketAddr,
 }
 
-/// What a relay tells the other relays.
+/// Heartbeat of a relay to the other relays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayBeacon {
-    /// Host of the relay.
+    /// Host on which the relay runs.
     pub host: HostId,
-    /// Its hall.
+    /// Hall of that host.
     pub hall: HallName,
-    /// Its address for other processes of the system.
+    /// Address at which it receives messages of other processes.
     pub address: SocketAddr,
-    /// Version of the sheet in force there.
+    /// Configuration version in force at the relay.
     pub sheet: SheetVersion,
-    /// What it knows of the store.
+    /// Its state summary: up to where it knows the store.
     pub word: StoreWord,
-    /// Adapters that its requests lack, those that it has asked for included.
+    /// Number of adapters that its requests are missing, including those with an open load request.
     pub lacking: u32,
-    /// Time until its next word to the receiver.
+    /// Time until its next heartbeat to the receiver.
     pub interval: Duration,
-    /// Relays that it hears itself.
+    /// Number of relays from which it receives heartbeats.
     pub heard: u32,
-    /// Some of them, others with each word, so that relays which do not know each other yet meet.
+    /// Some of these relays, others with each heartbeat, so that relays discover each other.
     pub relays: Vec<SocketAddr>,
 }
 
-/// What a relay knows of one replica's limit.
+/// Rate limit announced by a replica, as one relay knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitWord {
     /// The replica.
     pub replica: ReplicaId,
-    /// Which start of it, where it says so.
+    /// Start time of its process, if the replica reports it.
     pub born: Option<StartTime>,
-    /// What it takes from all relays together; `None` when it names no limit any more.
+    /// Rate that it accepts from all relays together; `None` once it announces no limit any more.
     pub limit: Option<RateLimit>,
-    /// Age of the answer that says so.
+    /// Age of the response that announced it.
     pub age: Duration,
 }
 
-/// What a relay tells others of limits.
+/// Rate limits of replicas, sent from a relay to other relays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitBeacon {
-    /// One for each replica.
+    /// One entry per replica.
     pub words: Vec<LimitWord>,
 }
 
-/// The other relays, as far as one relay's share of the weight store goes.
+/// Summary of the other relays, by which a relay's share of the weight store is computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OtherRelays {
-    /// How many were heard lately.
+    /// Number of relays whose heartbeats have recently been received.
     pub count: usize,
-    /// How many of them within the last two beacons.
+    /// Number of those received within the last two heartbeat intervals.
     pub recent: usize,
-    /// Adapters that their requests lack, in all.
+    /// Sum of their missing adapters.
     pub lacking: usize,
 }
 
-/// How much a relay used one adapter of an engine lately.
+/// A relay's recent use of one adapter of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterUse {
-    /// Which adapter.
+    /// The adapter.
     pub key: AdapterKey,
-    /// Requests sent since the relay's last beacon.
+    /// Requests sent since the relay's last heartbeat.
     pub sent: u32,
     /// Requests in flight.
     pub in_flight: u32,
 }
 
-/// What a relay tells a loader.
+/// Heartbeat of a relay to a loader, with the relay's use of the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UseBeacon {
-    /// Where the relay wants reports.
+    /// Address to which the loader's heartbeats are to be sent.
     pub relay: SocketAddr,
-    /// Adapters of the loader's engine that it uses.
+    /// Adapters of the loader's engine that the relay uses.
     pub uses: Vec<AdapterUse>,
 }
 
-/// What a relay asks of a loader.
+/// Load request of a relay to a loader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadAsk {
-    /// Incarnation of the engine that is meant, as the platform lists it.
+    /// Id of the engine in the platform's listing.
     pub replica: ReplicaId,
-    /// Base model.
+    /// Base model to load, or that of the adapter.
     pub model: ModelName,
     /// Adapter to load; `None` for the base model itself.
     pub adapter: Option<AdapterName>,
     /// Version to load; `None` for the newest.
     pub version: Option<AdapterVersion>,
-    /// Adapters for which the engine has room, so that its loader never orders more.
+    /// Number of adapter slots of the engine, so that its loader never orders more loads than fit.
     pub places: u32,
 }
 
 impl LoadAsk {
-    /// The adapter that is asked for; `None` for a base model.
+    /// Returns the requested adapter; `None` for a base model.
     ///
     /// ```
     /// use quillcove_core::relay::beacon::LoadAsk;
@@ -272,16 +275,16 @@
     }
 }
 
-/// An ask with the address of the engine whose loader gets it.
+/// A load request with the address of the engine whose loader receives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedAsk {
     /// Address of the engine.
     pub engine: SocketAddr,
-    /// The ask.
+    /// The load request.
     pub ask: LoadAsk,
 }
 
-/// Every message between processes of the system.
+/// A message between two processes of the system.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// From a relay to relays.
@@ -300,7 +303,7 @@
     Spend(SpendBeacon),
     /// From a relay to a relay.
     ProofAsk(ProofAsk),
-    /// From a relay to the relay that asked.
+    /// From a relay to the relay that sent the [`ProofAsk`].
     Proof(ProofAnswer),
     /// From a relay to relays and loaders, and from a loader to relays.
     Crash(CrashBeacon),
@@ -308,29 +311,30 @@
     CrashAsk(CrashAsk),
     /// From a relay to relays.
     Limit(LimitBeacon),
-    /// From a relay that reads the store to the others of its hall.
+    /// From a direct reader of the store to the other relays of its hall.
     Change(ChangeBeacon),
 }
 
-/// A relay's question to another one how old its proof is that it knows all that the operator wrote.
+/// A relay's request to another relay for the age of its freshness proof: the proof that it knows all
+/// that the operator has written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofAsk {
-    /// Where the relay wants the answer.
+    /// Address to which the response is to be sent.
     pub relay: SocketAddr,
-    /// Names the question, so that an answer counts from when it was asked.
+    /// Identifies the request, so that the age in the response counts from when the request was sent.
     pub number: u64,
 }
 
-/// The answer to a [`ProofAsk`].
+/// The response to a [`ProofAsk`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofAnswer {
-    /// The question.
+    /// Number of the request.
     pub number: u64,
-    /// What the relay knows.
+    /// Age of the proof, and the store positions to which it applies.
     pub word: ProofWord,
 }
 
-/// The kinds of [`PeerMessage`], for counting their bytes.
+/// The kinds of [`PeerMessage`] by which messages and bytes are counted in metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PeerMessageKind {
     /// [`PeerMessage::Relay`].
@@ -358,7 +362,7 @@
 }
 
 impl PeerMessageKind {
-    /// Its name in metrics.
+    /// Returns the kind's label in metrics.
     ///
     /// ```
     /// use quillcove_core::relay::beacon::PeerMessageKind;
@@ -383,7 +387,7 @@
 }
 
 impl PeerMessage {
-    /// Its kind.
+    /// Returns the kind under which the message is counted.
     ///
     /// ```
     /// use quillcove_core::relay::beacon::{PeerMessage, PeerMessageKind, ResendAsk};
