--- a/quillcove_core/src/relay/change_word.rs
+++ b/quillcove_core/src/relay/change_word.rs
@@ -1,8 +1,9 @@
-//! Changes of the platform's store, as a relay that reads it tells them to the others of its hall.
+//! Updates of the platform's store that a direct reader sends to the other relays of its hall.
 //!
-//! Without the change itself, each relay that is told of one reads it for itself: calls of the store that grow with the
-//! relays. A word names the revisions from which and up to which it tells all that matters, so that a receiver that
-//! lacks the one before it takes nothing and reads for itself.
+//! An update carries the changes themselves: if it only announced them, each relay would read them from
+//! the store, and the calls of the store would grow with the number of relays. It names the revisions
+//! between which it is complete, so that a receiver that does not know the store up to the first of them
+//! ignores it and reads the store itself.
 
 use std::time::Duration;
 
@@ -13,48 +14,49 @@
 use super::sheet_change::SheetChange;
 use crate::ids::StoreEra;
 
-/// Changes in one word: some 200 bytes each, so that a datagram has room for one larger one among them.
-const MOST_CHANGES: usize = 16;
+/// Number of changes from which an update is split. They take some 200 bytes each, so that a datagram
+/// has room for a larger one among them.
+const CHANGES_PER_DATAGRAM: usize = 16;
 
-/// One change.
+/// A change of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToldEvent {
-    /// As the store has it.
+    /// A change as the store publishes it.
     Published(StoreEvent),
-    /// A sheet, by what differs from the one before.
+    /// A new configuration, as the difference to the one before.
     Sheet(SheetChange),
-    /// An entry lapsed while the store was away; it is given up when it does not come back.
+    /// An entry that expired while the store was unavailable. It is dropped unless it is renewed.
     Lapsed(LapsedEntry),
 }
 
-/// A change, and the revision of the store at which it was made.
+/// A change with the store revision at which it was made.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ToldChange {
-    /// The revision.
+    /// Revision of the change.
     pub revision: u64,
     /// The change.
     pub event: ToldEvent,
 }
 
-/// All that has changed in one part of the store between two revisions and matters to relays.
+/// All changes of one part of the store between two revisions that matter to relays.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeBeacon {
-    /// The part.
+    /// Part of the store.
     pub part: StorePart,
-    /// Era in which all of them were made.
+    /// Era of all the changes.
     pub era: StoreEra,
-    /// Revision after which the changes are.
+    /// Revision after which the changes begin.
     pub after: u64,
-    /// Revision up to which they are all that matters.
+    /// Revision up to which the changes are complete.
     pub revision: u64,
-    /// Age of the moment at which that was known to be complete.
+    /// Time since the changes were known to be complete.
     pub age: Duration,
-    /// The changes.
+    /// Changes in the order of their revisions.
     pub changes: Vec<ToldChange>,
 }
 
 impl ChangeBeacon {
-    /// Position after which the changes are.
+    /// Returns the position after which the changes begin.
     ///
     /// ```
     /// use std::time::Duration;
@@ -63,26 +65,26 @@
     /// use quillcove_core::relay::published::StorePart;
     ///
     /// let (part, age) = (StorePart::Operator, Duration::ZERO);
-    /// let word = ChangeBeacon { part, era: 2, after: 3, revision: 5, age, changes: Vec::new() };
-    /// assert_eq!(word.begin(), StorePosition { era: 2, revision: 3 });
+    /// let update = ChangeBeacon { part, era: 2, after: 3, revision: 5, age, changes: Vec::new() };
+    /// assert_eq!(update.begin(), StorePosition { era: 2, revision: 3 });
     /// ```
     pub fn begin(&self) -> StorePosition {
         self.position(self.after)
     }
 
-    /// Position up to which they are all that matters.
+    /// Returns the position up to which the changes are complete.
     ///
     /// See [`ChangeBeacon::begin`] for an example.
     pub fn end(&self) -> StorePosition {
         self.position(self.revision)
     }
 
-    /// Position of a revision of its era.
+    /// Returns the position of a revision in the update's era.
     pub(super) fn position(&self, revision: u64) -> StorePosition {
         StorePosition { era: self.era, revision }
     }
 
-    /// Divides this into words that fit into datagrams, each of which follows on the one before.
+    /// Splits the update into ones that fit into datagrams, each beginning where the one before ends.
     ///
     /// ```
     /// use std::time::Duration;
@@ -93,7 +95,7 @@
     ///     revision,
     ///     event: ToldEvent::Published(StoreEvent::ReplicaGone("i".repeat(100))),
     /// };
-    /// let beacon = ChangeBeacon {
+    /// let update = ChangeBeacon {
     ///     part: StorePart::Replicas,
     ///     era: 0,
     ///     after: 3,
@@ -101,29 +103,29 @@
     ///     age: Duration::ZERO,
     ///     changes: (4..104).map(gone).collect(),
     /// };
-    /// let words = beacon.in_datagrams();
-    /// assert!(words.len() > 1);
-    /// assert_eq!(words[0].revision, words[1].after);
-    /// assert_eq!(words.last().unwrap().revision, 300);
+    /// let updates = update.in_datagrams();
+    /// assert!(updates.len() > 1);
+    /// assert_eq!(updates[0].revision, updates[1].after);
+    /// assert_eq!(updates.last().unwrap().revision, 300);
     /// ```
     pub fn in_datagrams(mut self) -> Vec<Self> {
-        // A reader's answer names changes in the order of their revisions; this does not lean on it.
+        // Changes read from the store are in the order of their revisions; this does not rely on it.
         self.changes.sort_by_key(|change| change.revision);
         let changes = std::mem::take(&mut self.changes);
         let end = self.revision;
-        let mut words = Vec::new();
-        let mut word = self;
+        let mut updates = Vec::new();
+        let mut update = self;
         for change in changes {
-            let last = word.changes.last().map_or(word.after, |last| last.revision);
-            if last < change.revision && word.changes.len() >= MOST_CHANGES {
-                let changes = std::mem::take(&mut word.changes);
-                words.push(Self { revision: last, changes, ..word });
-                word.after = last;
+            let last = update.changes.last().map_or(update.after, |last| last.revision);
+            if last < change.revision && update.changes.len() >= CHANGES_PER_DATAGRAM {
+                let changes = std::mem::take(&mut update.changes);
+                updates.push(Self { revision: last, changes, ..update });
+                update.after = last;
             }
-            word.changes.push(change);
+            update.changes.push(change);
         }
-        word.revision = end;
-        words.push(word);
-        words
+        update.revision = end;
+        updates.push(update);
+        updates
     }
 }
