--- a/quillcove_core/src/relay/cell.rs
+++ b/quillcove_core/src/relay/cell.rs
@@ -1,34 +1,37 @@
-//! Which engines a relay works with in a large fleet.
+//! Divides the engines of a large service into cells, each used by a part of the relays.
 //!
-//! What relays and loaders tell each other grows with relays times engines. A service with many engines is therefore
-//! divided into cells, by hall first and each hall into halves, and a relay exchanges words with the loaders of its own
-//! cell only: what a process hears stays the same however large the fleet is. Engines and relays are placed by a hash,
-//! so that all processes that know the same list agree with no message; a process that knows another list for a moment
-//! only tells a few loaders too many or too few.
+//! The messages between relays and loaders grow with relays times engines. A service with many engines is
+//! therefore divided into cells, first by hall and then each hall into halves, and a relay exchanges
+//! heartbeats with the loaders of its own cell only, so that the messages that one process receives do not
+//! grow with the fleet. Engines and relays are assigned to cells by a hash, so that all processes with the
+//! same membership list agree without messages. A process with another list for a moment only sends to
+//! a few loaders too many or too few.
 
 use std::collections::BTreeMap;
 
 use crate::ids::HallName;
 use crate::rendezvous;
 
-/// Engines of a cell beyond which it is divided. A relay hears each of them a few times a second.
-const MOST_ENGINES: usize = 96;
+/// Number of engines above which a cell is divided. A relay receives heartbeats from each of them a few
+/// times a second.
+const MAX_CELL_ENGINES: usize = 96;
 
-/// Engines of a cell below which two of them are one again. Between this and the half of [`MOST_ENGINES`] a division
-/// stays as it is, so that some engines that come and go do not move others.
-const FEWEST_ENGINES: usize = 32;
+/// Number of engines below which cells are merged. Between this and half of [`MAX_CELL_ENGINES`] a division
+/// stays as it is, so that a few engines joining or leaving do not move others to another cell.
+const MIN_CELL_ENGINES: usize = 32;
 
-/// Engines from which on a hall is divided from the others; those of smaller halls go with one of the larger ones.
-const HALL_ENGINES: usize = 24;
+/// Number of engines from which a hall has cells of its own. The engines of smaller halls are assigned to
+/// those of the larger ones.
+const MIN_HALL_ENGINES: usize = 24;
 
-/// One cell of a service: its group of halls, and the part of it.
+/// A cell of a service, identified by its group of halls and the part of that group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineCell {
     hall: HallName,
     part: u64,
 }
 
-/// How the engines of one service are divided into cells.
+/// The division of the engines of one service into cells.
 ///
 /// ```
 /// use std::collections::BTreeMap;
@@ -42,59 +45,60 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CellPlan {
-    /// Parts of each group of halls, a power of two; empty as long as all engines are one cell.
+    /// Number of parts of each group of halls, a power of two; empty while all engines form one cell.
     parts: BTreeMap<HallName, u64>,
 }
 
 impl CellPlan {
-    /// Takes how many engines each hall has; tells whether the division is another one now.
+    /// Updates the division from the number of engines in each hall; returns whether it has changed.
     ///
     /// See [`CellPlan`] for an example.
     pub fn update(&mut self, engines: &BTreeMap<HallName, usize>) -> bool {
-        let before = self.parts.clone();
+        let previous = self.parts.clone();
         let total: usize = engines.values().sum();
         let is_divided = match self.parts.is_empty() {
-            true => total > MOST_ENGINES,
-            false => total >= FEWEST_ENGINES * 2,
+            true => total > MAX_CELL_ENGINES,
+            false => total >= MIN_CELL_ENGINES * 2,
         };
         self.parts = match is_divided {
             true => self.divide(engines, total),
             false => BTreeMap::new(),
         };
-        self.parts != before
+        self.parts != previous
     }
 
     fn divide(&self, engines: &BTreeMap<HallName, usize>, total: usize) -> BTreeMap<HallName, u64> {
-        let is_large = |(_, count): &(&HallName, &usize)| **count >= HALL_ENGINES;
+        let is_large = |(_, count): &(&HallName, &usize)| **count >= MIN_HALL_ENGINES;
         let large: Vec<(&HallName, usize)> =
             engines.iter().filter(is_large).map(|(hall, count)| (hall, *count)).collect();
         if large.len() < 2 {
-            // Halls that can not stand alone are one group, named after none of them.
+            // With fewer than two large halls, all halls form one group, which has an empty name.
             let hall = HallName::new();
-            let parts = self.parts_of(&hall, total);
+            let parts = self.part_count(&hall, total);
             return BTreeMap::from([(hall, parts)]);
         }
-        let of_large: usize = large.iter().map(|(_, count)| count).sum();
-        let of_others = (total - of_large) / large.len();
+        let large_total: usize = large.iter().map(|(_, count)| count).sum();
+        let small_hall_share = (total - large_total) / large.len();
         let group = |(hall, count): (&HallName, usize)| {
-            (hall.clone(), self.parts_of(hall, count + of_others))
+            (hall.clone(), self.part_count(hall, count + small_hall_share))
         };
         large.into_iter().map(group).collect()
     }
 
-    /// Parts of a group with so many engines: as before, unless its cells are too large or too small by now.
-    fn parts_of(&self, hall: &HallName, engines: usize) -> u64 {
+    /// Returns the number of parts of a group with `engines` engines: the current one, unless its cells
+    /// have become too large or too small.
+    fn part_count(&self, hall: &HallName, engines: usize) -> u64 {
         let mut parts = self.parts.get(hall).copied().unwrap_or(1);
-        while engines > MOST_ENGINES * parts as usize {
+        while engines > MAX_CELL_ENGINES * parts as usize {
             parts *= 2;
         }
-        while parts > 1 && engines < FEWEST_ENGINES * parts as usize {
+        while parts > 1 && engines < MIN_CELL_ENGINES * parts as usize {
             parts /= 2;
         }
         parts
     }
 
-    /// The cell of an engine or a relay, by its hall and its own name.
+    /// Returns the cell of an engine or a relay, by its hall and its name.
     ///
     /// ```
     /// use quillcove_core::relay::cell::CellPlan;
@@ -112,7 +116,7 @@
         EngineCell { part: rendezvous::weight("cell", name) % parts, hall }
     }
 
-    /// How many cells there are.
+    /// Returns the number of cells.
     ///
     /// See [`CellPlan`] for an example.
     pub fn count(&self) -> usize {
