--- a/quillcove_core/src/relay/order.rs
+++ b/quillcove_core/src/relay/order.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, and how they end.
+//! Orders that a loader gives to its engine, and their outcomes.
 
 use std::time::Duration;
 
@@ -7,65 +7,66 @@
 use super::beacon::{OrderCount, ReplicaId};
 use crate::ids::{AdapterVersion, HostId, ModelName};
 
-/// What an order does.
+/// The operation of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum OrderKind {
-    /// Brings a base model or an adapter in.
+    /// Loads a base model or an adapter.
     Load,
-    /// Takes an adapter out.
+    /// Unloads an adapter.
     Unload,
 }
 
-/// An order to the engine.
+/// An order to load or unload a base model or an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LoadOrder {
-    /// What it does.
+    /// Operation to carry out.
     pub kind: OrderKind,
-    /// Incarnation of the engine that is meant.
+    /// Id of the engine in the platform's listing; an engine with another id rejects the order.
     pub replica: ReplicaId,
-    /// Base model.
+    /// Base model to load, or that of the adapter.
     pub model: ModelName,
     /// Adapter; `None` for the base model itself.
     pub adapter: Option<String>,
-    /// Version of the adapter; `None` for the newest.
+    /// Version of the adapter to load; `None` for the newest.
     pub version: Option<AdapterVersion>,
-    /// Host that gives the order.
+    /// Host whose loader gives the order.
     pub holder: HostId,
-    /// Grows over all orders of one holder.
+    /// Fencing token, increased with each order of one holder.
     pub fence: u64,
-    /// Orders that the engine had taken when this one was decided on. The engine refuses it when it
-    /// has taken others since, so that two orders which fit one by one are not carried out together.
+    /// Number of orders that the engine had accepted when this one was decided on. The engine rejects it
+    /// if it has accepted others since, so that two orders that each fit alone are not both carried out.
     pub orders_seen: Option<OrderCount>,
-    /// What it was decided on.
+    /// State of the engine on which the decision was based.
     pub basis: OrderBasis,
 }
 
-/// What a loader knew of its engine when it decided on an order; for logs.
+/// State of the engine as its loader knew it when it decided on an order; for logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct OrderBasis {
     /// Age of the engine's last report.
     pub report_age: Duration,
-    /// Adapters that the engine held.
+    /// Number of adapters that were loaded.
     pub held: usize,
-    /// Adapters on their way.
+    /// Number of adapters that were being loaded.
     pub coming: usize,
-    /// Adapters for which the engine has room, by the ask.
+    /// Number of adapter slots, from the load request.
     pub places: u32,
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum OrderOutcome {
-    /// It is being carried out.
+    /// The engine has accepted it and is carrying it out.
     Begun,
-    /// What it asks for holds already.
+    /// The requested state already holds.
     Holds,
-    /// Another order is under way, or the engine has taken orders that this one did not know of.
+    /// Another order is under way, or the engine has accepted orders not counted in
+    /// [`LoadOrder::orders_seen`].
     Busy,
-    /// The engine has seen a higher fence.
+    /// The engine has received a higher fence.
     FenceTooLow,
-    /// The engine is another incarnation, or does not take such an order.
+    /// The order is for another replica id, or the engine does not accept such an order.
     Rejected,
-    /// No answer came; it may have been taken.
+    /// The engine did not respond; it may have accepted the order.
     Unanswered,
 }
