--- a/quillcove_core/src/relay/packed.rs
+++ b/quillcove_core/src/relay/packed.rs
@@ -1,30 +1,30 @@
-//! The form in which an engine's report goes over the wire.
+//! Wire format of an engine's report.
 //!
-//! Adapters name their base model by its place in a list of names, which halves a report of fourteen
-//! adapters. What only the loader beside the engine needs is not sent: the time of its start, the count of orders and the
-//! tokens in memory.
+//! Adapters refer to their base model by an index into a list of names, which halves the size of a report
+//! of fourteen adapters. Fields that only the loader of the engine needs are not sent: the start time, the
+//! count of orders and the tokens in memory.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
 use super::beacon::{AdapterKey, EngineReport, HeldAdapter};
 use crate::ids::{AdapterName, AdapterVersion, ModelName};
 
-/// Place of a base model's name in [`PackedReport::names`].
-type ModelPlace = u16;
+/// Index of a base model's name in [`PackedReport::names`].
+type ModelIndex = u16;
 
 #[derive(Serialize, Deserialize)]
 struct PackedAdapter {
-    model: ModelPlace,
+    model: ModelIndex,
     adapter: AdapterName,
     version: AdapterVersion,
 }
 
 #[derive(Default, Serialize, Deserialize)]
 struct PackedReport {
-    /// Base models that the rest names.
+    /// Names of the base models to which the other fields refer.
     names: Vec<ModelName>,
-    models: Vec<ModelPlace>,
-    local_models: Vec<ModelPlace>,
+    models: Vec<ModelIndex>,
+    local_models: Vec<ModelIndex>,
     adapters: Vec<PackedAdapter>,
     incoming: Vec<PackedAdapter>,
     is_busy: bool,
@@ -42,36 +42,36 @@
             waiting: report.waiting,
             ..Self::default()
         };
-        packed.models = report.models.iter().map(|name| packed.place_of(name)).collect();
+        packed.models = report.models.iter().map(|name| packed.index_of(name)).collect();
         packed.local_models =
-            report.local_models.iter().map(|name| packed.place_of(name)).collect();
-        packed.adapters = report.adapters.iter().map(|held| packed.adapter(held)).collect();
-        packed.incoming = report.incoming.iter().map(|held| packed.adapter(held)).collect();
+            report.local_models.iter().map(|name| packed.index_of(name)).collect();
+        packed.adapters = report.adapters.iter().map(|held| packed.pack_adapter(held)).collect();
+        packed.incoming = report.incoming.iter().map(|held| packed.pack_adapter(held)).collect();
         packed
     }
 
-    fn place_of(&mut self, name: &ModelName) -> ModelPlace {
-        let place = self.names.iter().position(|known| known == name);
-        let place = place.unwrap_or_else(|| {
+    fn index_of(&mut self, name: &ModelName) -> ModelIndex {
+        let index = self.names.iter().position(|known| known == name);
+        let index = index.unwrap_or_else(|| {
             self.names.push(name.clone());
             self.names.len() - 1
         });
-        place as ModelPlace
+        index as ModelIndex
     }
 
-    fn adapter(&mut self, held: &HeldAdapter) -> PackedAdapter {
+    fn pack_adapter(&mut self, held: &HeldAdapter) -> PackedAdapter {
         PackedAdapter {
-            model: self.place_of(&held.key.model),
+            model: self.index_of(&held.key.model),
             adapter: held.key.adapter.clone(),
             version: held.version,
         }
     }
 
-    /// The report again; `None` when a place has no name.
+    /// Restores the report; `None` if an index is out of range.
     fn unpack(self) -> Option<EngineReport> {
         let Self { names, models, local_models, adapters, incoming, .. } = self;
         let Self { is_busy, is_leaving, running, waiting, .. } = self;
-        let name = |place: ModelPlace| names.get(usize::from(place)).cloned();
+        let name = |index: ModelIndex| names.get(usize::from(index)).cloned();
         let held = |packed: PackedAdapter| {
             let key = AdapterKey { model: name(packed.model)?, adapter: packed.adapter };
             Some(HeldAdapter { key, version: packed.version })
@@ -102,5 +102,7 @@
     deserializer: D,
 ) -> Result<EngineReport, D::Error> {
     let packed = PackedReport::deserialize(deserializer)?;
-    packed.unpack().ok_or_else(|| de::Error::custom("a base model without a name"))
+    packed
+        .unpack()
+        .ok_or_else(|| de::Error::custom("base model index out of range in a packed engine report"))
 }
