--- a/quillcove_core/src/relay/promise.rs
+++ b/quillcove_core/src/relay/promise.rs
@@ -1,7 +1,7 @@
-//! How true the times were that refused callers were told.
+//! Measures the error of the load estimates given to rejected callers.
 //!
-//! A caller whose adapter comes too late is told when it will be there. Each such time is kept until
-//! the adapter has come, so that the difference can be seen.
+//! A caller whose adapter will be loaded too late is rejected with the estimated load time. Each estimate
+//! is kept until the adapter has been loaded, so that the difference can be reported.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,34 +9,34 @@
 use super::beacon::AdapterKey;
 use crate::ids::MonoTime;
 
-/// Time after the told one at which an adapter that has not come counts as missed. Callers that come
-/// back wait for no longer than the longest aim of the users' sheets.
+/// Time after the estimated one at which an adapter that is not loaded counts as missed. Callers that
+/// retry wait no longer than the longest target latency in the users' configurations.
 const MISSED_AFTER: Duration = Duration::from_secs(2);
 
-/// Times that may be open; beyond these no more are kept.
-const OPEN_LIMIT: usize = 4096;
+/// Maximum number of open estimates; further ones are not recorded.
+const OPEN_ESTIMATE_LIMIT: usize = 4096;
 
-/// How a told time ended.
+/// The outcome of a load estimate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromiseFate {
-    /// The adapter was there so long before the told time.
+    /// The adapter was loaded earlier than estimated, by this time.
     Early(Duration),
-    /// The adapter came so long after the told time.
+    /// The adapter was loaded later than estimated, by this time.
     Late(Duration),
-    /// The adapter did not come in a useful time.
+    /// The adapter was not loaded within two seconds after the estimated time.
     Missed,
 }
 
-/// A told time that is over.
+/// A load estimate whose outcome is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedPromise {
-    /// Which adapter.
+    /// The adapter.
     pub key: AdapterKey,
-    /// What became of it.
+    /// Outcome of the estimate.
     pub fate: PromiseFate,
 }
 
-/// The times that callers of one relay were told.
+/// The load estimates given to callers of one relay.
 ///
 /// ```
 /// use std::time::Duration;
@@ -51,13 +51,13 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct PromiseBook {
-    open: BTreeMap<AdapterKey, MonoTime>,
-    ended: Vec<EndedPromise>,
+    open_estimates: BTreeMap<AdapterKey, MonoTime>,
+    resolved: Vec<EndedPromise>,
 }
 
 impl PromiseBook {
-    /// Notes that a caller was told when an adapter will be there. Of several times that are open for
-    /// one adapter, the first counts.
+    /// Records that a caller was given the estimated load time of an adapter. While an estimate is open for
+    /// the adapter, further ones are ignored.
     ///
     /// ```
     /// use std::time::Duration;
@@ -68,12 +68,12 @@
     /// PromiseBook::default().tell(&key, Duration::from_secs(3));
     /// ```
     pub fn tell(&mut self, key: &AdapterKey, at: MonoTime) {
-        if self.open.len() < OPEN_LIMIT {
-            self.open.entry(key.clone()).or_insert(at);
+        if self.open_estimates.len() < OPEN_ESTIMATE_LIMIT {
+            self.open_estimates.entry(key.clone()).or_insert(at);
         }
     }
 
-    /// Ends the times of adapters that an engine holds now.
+    /// Resolves the estimates of adapters that an engine now holds.
     ///
     /// ```
     /// use std::time::Duration;
@@ -82,16 +82,16 @@
     /// PromiseBook::default().note_held(|_| true, Duration::ZERO);
     /// ```
     pub fn note_held(&mut self, is_held: impl Fn(&AdapterKey) -> bool, now: MonoTime) {
-        self.end(
+        self.resolve(
             |key, _| is_held(key),
-            |told| match now.checked_sub(told) {
+            |estimate| match now.checked_sub(estimate) {
                 Some(late) => PromiseFate::Late(late),
-                None => PromiseFate::Early(told - now),
+                None => PromiseFate::Early(estimate - now),
             },
         );
     }
 
-    /// Ends the times of adapters that have not come.
+    /// Resolves overdue estimates as missed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -100,25 +100,25 @@
     /// PromiseBook::default().tick(Duration::ZERO);
     /// ```
     pub fn tick(&mut self, now: MonoTime) {
-        self.end(|_, told| now >= told + MISSED_AFTER, |_| PromiseFate::Missed);
+        self.resolve(|_, estimate| now >= estimate + MISSED_AFTER, |_| PromiseFate::Missed);
     }
 
-    fn end(
+    fn resolve(
         &mut self,
         is_over: impl Fn(&AdapterKey, MonoTime) -> bool,
         fate: impl Fn(MonoTime) -> PromiseFate,
     ) {
-        let ended = &mut self.ended;
-        self.open.retain(|key, told| {
-            let is_over = is_over(key, *told);
+        let resolved = &mut self.resolved;
+        self.open_estimates.retain(|key, estimate| {
+            let is_over = is_over(key, *estimate);
             if is_over {
-                ended.push(EndedPromise { key: key.clone(), fate: fate(*told) });
+                resolved.push(EndedPromise { key: key.clone(), fate: fate(*estimate) });
             }
             !is_over
         });
     }
 
-    /// The times that ended since the last call.
+    /// Removes and returns the estimates resolved since the last call.
     ///
     /// ```
     /// use quillcove_core::relay::promise::PromiseBook;
@@ -126,6 +126,6 @@
     /// assert!(PromiseBook::default().take_ended().is_empty());
     /// ```
     pub fn take_ended(&mut self) -> Vec<EndedPromise> {
-        std::mem::take(&mut self.ended)
+        std::mem::take(&mut self.resolved)
     }
 }
