--- a/quillcove_core/src/relay/loader/mod.rs
+++ b/quillcove_core/src/relay/loader/mod.rs
@@ -497,7 +497,7 @@
         }
     }
 
-    /// Returns the ages of the base-model loads started within [`MODEL_LOAD_RETENTION`].
+    /// Returns the ages of the base-model loads that still count against the load rate.
     ///
     /// ```
     /// use std::time::Duration;
