--- a/quillcove_core/src/relay/follower.rs
+++ b/quillcove_core/src/relay/follower.rs
@@ -1,10 +1,11 @@
-//! When a part of the platform's store is read again, and how long an answer is waited for.
+//! Scheduling of calls that read one part of the platform's store: what to call next, how long to
+//! wait for the response, and how long to back off after a failure.
 //!
 //! A call that begins while the store answers nobody, or whose connection has gone silent, is never
-//! answered, and only its own time limit shows it. What was published meanwhile stays unknown until
-//! then. So two rules hold: a watch, from its start to its limit, is shorter than the time after
-//! which this process counts as in touch again; and a call that follows a failed one asks for an
-//! answer at once, since nothing says yet that the store answers at all.
+//! answered; only the call's own timeout reveals that, and changes published in the meantime stay
+//! unknown until then. Therefore two rules hold. A watch, from its start to its timeout, is shorter
+//! than the time within which this process has to be in contact again. A call that follows a failed
+//! one requests an immediate response, since nothing shows yet that the store answers at all.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -12,31 +13,31 @@
 use super::position::StorePosition;
 use crate::ids::StoreEra;
 
-/// First pause after a call that failed; doubles up to [`PAUSE_LIMIT`].
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Backoff after the first failed call; doubles with each further failure up to [`MAX_BACKOFF`].
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest pause between calls to a store that fails. Replicas' entries may be back within two
-/// seconds of its return, and a caller is served again soon after.
-const PAUSE_LIMIT: Duration = Duration::from_millis(600);
+/// Longest backoff between calls to a store that fails. Entries of replicas may be back within two
+/// seconds of the store's return, and callers should be served again soon after that.
+const MAX_BACKOFF: Duration = Duration::from_millis(600);
 
-/// Shortest time of a watch, so that a small contact time does not turn watches into a busy loop.
-const LEAST_WATCH: Duration = Duration::from_millis(200);
+/// Shortest watch, so that a small contact time does not turn watches into a busy loop.
+const MIN_WATCH: Duration = Duration::from_millis(200);
 
-/// How one part of the store is followed.
+/// Timing of the calls that follow one part of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowRules {
     /// Longest time that a watch waits for a change.
     pub watch_time: Duration,
-    /// Longest time for an answer, and for that of a watch beyond its own time.
+    /// Timeout of a call; for a watch, the time allowed beyond its own wait.
     pub timeout: Duration,
-    /// Time after the end of any trouble by which what was published has to be known.
+    /// Time after the end of any outage within which published changes have to be known.
     pub contact_time: Duration,
-    /// Pause after an answer, in which changes gather.
+    /// Pause after a response, in which further changes accumulate so that one call returns them.
     pub gather_time: Duration,
 }
 
 impl Default for FollowRules {
-    /// The times of the users' first deployments.
+    /// Returns the times of the users' first deployments.
     fn default() -> Self {
         Self {
             watch_time: Duration::from_secs(3),
@@ -48,8 +49,9 @@
 }
 
 impl FollowRules {
-    /// Time that a watch waits for a change. When it is never answered, its limit, a pause and one
-    /// more call that fails still fit into the contact time.
+    /// Returns the time that a watch waits for a change. It is short enough that, when a watch is
+    /// never answered, its timeout, one backoff and one more failing call still fit into the
+    /// contact time.
     ///
     /// ```
     /// use std::time::Duration;
@@ -58,40 +60,41 @@
     /// assert_eq!(FollowRules::default().watch_time(), Duration::from_millis(1300));
     /// ```
     pub fn watch_time(&self) -> Duration {
-        let used = self.timeout * 2 + FIRST_PAUSE;
-        let longest = self.contact_time.saturating_sub(used).max(LEAST_WATCH);
+        let used = self.timeout * 2 + FIRST_BACKOFF;
+        let longest = self.contact_time.saturating_sub(used).max(MIN_WATCH);
         self.watch_time.min(longest)
     }
 }
 
-/// The next call of a part.
+/// The next call for a part of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Reads all of it.
+    /// Reads the whole part.
     Whole,
-    /// Asks for the changes after a revision, to be answered after so long at the latest.
+    /// Requests the changes after a position; answered after `wait` at the latest.
     Changes {
         /// Position up to which the part is known.
         after: StorePosition,
-        /// Time to wait for a change; zero for an answer at once.
+        /// Time to wait for a change; zero requests an immediate response.
         wait: Duration,
     },
 }
 
-/// How the era of an answer stands to what is known.
+/// The era of a response compared with the latest era known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerEra {
-    /// It is from before it; the answer says nothing.
+    /// The response is from an earlier era and has to be ignored.
     Earlier,
-    /// It is the same.
+    /// Both are of the same era.
     Known,
-    /// The store has come back from a copy since; the part has to be read whole.
+    /// The store has been restored from a copy since; the part has to be read whole.
     Later,
 }
 
 impl AnswerEra {
-    /// Judges an answer by the era that it is from. The changes after a position are worth nothing in a later era,
-    /// in which revisions are given out again; an answer of an earlier era was late, or comes from a copy.
+    /// Compares the era of a response with the latest known one. Changes after a position can't be
+    /// used in a later era, in which revision numbers are assigned again; a response from an
+    /// earlier era was delayed or comes from a copy of the store.
     ///
     /// ```
     /// use quillcove_core::relay::follower::AnswerEra;
@@ -109,7 +112,7 @@
     }
 }
 
-/// Where one part of the store stands.
+/// Progress of reading one part of the store.
 ///
 /// ```
 /// use std::time::Duration;
@@ -127,16 +130,16 @@
 #[derive(Clone, Debug)]
 pub struct PartFollower {
     rules: FollowRules,
-    /// Position up to which the part is known; `None` when all of it has to be read.
+    /// Position up to which the part is known; `None` when it has to be read whole.
     position: Option<StorePosition>,
-    /// Latest era of which anything is known.
+    /// Latest era seen, in a response or from another relay.
     era: StoreEra,
-    /// Calls that failed since the last answer.
+    /// Consecutive failed calls since the last response.
     failures: u32,
 }
 
 impl PartFollower {
-    /// A follower of a part of which nothing is known.
+    /// Creates the state for a part that has not been read yet.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
@@ -147,7 +150,7 @@
         Self { rules, position: None, era: StoreEra::default(), failures: 0 }
     }
 
-    /// The next call.
+    /// Returns the next call.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower, StoreCall};
@@ -158,7 +161,7 @@
         self.next_call_within(Duration::MAX)
     }
 
-    /// The next call, waiting for a change for no longer than this.
+    /// Returns the next call, with the wait for a change capped at `longest`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -181,7 +184,7 @@
         StoreCall::Changes { after, wait }
     }
 
-    /// Longest time for the answer of a call.
+    /// Returns the timeout of a call.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower, StoreCall};
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Position up to which the part is known.
+    /// Returns the position up to which the part is known; `None` when it has to be read whole.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
@@ -210,7 +213,7 @@
         self.position
     }
 
-    /// Latest era of which anything is known.
+    /// Returns the latest era seen.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
@@ -224,7 +227,7 @@
         self.era
     }
 
-    /// Tells whether the part is known and the last call was answered.
+    /// Returns whether the part has been read and the last call succeeded.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
@@ -235,8 +238,9 @@
         self.position.is_some() && self.failures == 0
     }
 
-    /// Takes a position up to which the part is known from elsewhere, so that older changes are not
-    /// asked for; the store may have forgotten them. Where nothing is known yet, all is read.
+    /// Advances the known position to one that another relay reported, so that older changes are
+    /// not requested; the store may no longer have them. Does not set a position for a part that
+    /// has not been read yet: that part is still read whole.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
@@ -254,7 +258,8 @@
         }
     }
 
-    /// Takes an answer that goes up to a position; tells the pause until the next call.
+    /// Records a response that covers the part up to `position`. Returns the pause until the next
+    /// call.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
@@ -270,7 +275,7 @@
         self.rules.gather_time
     }
 
-    /// Takes the failure of a call; tells the pause until the next one.
+    /// Records a failed call. Returns the backoff until the next call.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
@@ -279,12 +284,13 @@
     /// assert!(part.take_failure() < part.take_failure(), "pauses grow");
     /// ```
     pub fn take_failure(&mut self) -> Duration {
-        let doubled = FIRST_PAUSE.saturating_mul(2u32.saturating_pow(self.failures));
+        let doubled = FIRST_BACKOFF.saturating_mul(2u32.saturating_pow(self.failures));
         self.failures = self.failures.saturating_add(1);
-        doubled.min(PAUSE_LIMIT)
+        doubled.min(MAX_BACKOFF)
     }
 
-    /// Takes the news that the changes after the known position can't be had.
+    /// Records that the changes after the known position are not available, so that the next call
+    /// reads the whole part.
     ///
     /// ```
     /// use quillcove_core::relay::follower::{FollowRules, PartFollower, StoreCall};
