--- a/quillcove_core/src/relay/knowledge.rs
+++ b/quillcove_core/src/relay/knowledge.rs
@@ -1,4 +1,5 @@
-//! What a relay knows of the platform's store, since when, and what it tells of it.
+//! What a relay knows of the platform's store, how old that knowledge is, and the summary of it
+//! that the relay sends to others.
 
 use std::time::Duration;
 
@@ -8,17 +9,17 @@
 use super::published::StorePart;
 use crate::ids::MonoTime;
 
-/// Times since a relay's own last reading of each part was known to be complete.
+/// Ages of a relay's own reads: the time since each part was last known to be complete.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartAges {
-    /// For what the operator writes; `None` when it was never read.
+    /// Age of the operator's part; `None` when it was never read.
     pub operator: Option<Duration>,
-    /// For the listing of replicas.
+    /// Age of the replica list; `None` when it was never read.
     pub replicas: Option<Duration>,
 }
 
 impl PartAges {
-    /// The age of one part.
+    /// Returns the age of one part.
     ///
     /// ```
     /// use quillcove_core::relay::published::StorePart;
@@ -34,62 +35,65 @@
     }
 }
 
-/// What a relay tells of its knowledge of the store.
+/// A relay's summary of its knowledge of the store, sent to other relays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreWord {
-    /// Positions up to which it knows the parts.
+    /// Positions up to which the parts are known.
     pub read: ReadPositions,
-    /// Positions at which something last changed that matters to relays.
+    /// Positions of the last changes that matter to relays.
     pub changed: ReadPositions,
-    /// Positions from which on it has followed the changes. Of what went before them it does not know,
-    /// so that its word is worth nothing to a relay that knows less.
+    /// Positions from which on the sender has followed changes. It does not know what changed
+    /// before them, so its summary can't confirm the state of a relay that is behind these
+    /// positions.
     pub since: ReadPositions,
-    /// How old its own last readings are.
+    /// Ages of the sender's own last reads.
     pub ages: PartAges,
-    /// Whether the store answered its last call.
+    /// Whether the store answered the sender's last call.
     pub is_up: bool,
 }
 
 impl StoreWord {
-    /// Position that a relay has to know a part up to so that this word is no news: that of the last change that
-    /// matters, and the start of the era, in which much may differ from what was known before.
+    /// Returns the position up to which a receiver has to know a part for this summary to contain
+    /// nothing new: the later of the last change that matters and the start of the era, since in a
+    /// new era much may differ from what was known before.
     ///
     /// ```
     /// use quillcove_core::relay::knowledge::StoreWord;
     /// use quillcove_core::relay::position::StorePosition;
     /// use quillcove_core::relay::published::StorePart;
     ///
-    /// let mut word = StoreWord::default();
-    /// word.read.replicas = StorePosition { era: 2, revision: 70 };
-    /// word.changed.replicas = StorePosition { era: 1, revision: 90 };
-    /// assert_eq!(word.news_of(StorePart::Replicas), StorePosition::start_of(2));
+    /// let mut summary = StoreWord::default();
+    /// summary.read.replicas = StorePosition { era: 2, revision: 70 };
+    /// summary.changed.replicas = StorePosition { era: 1, revision: 90 };
+    /// assert_eq!(summary.news_of(StorePart::Replicas), StorePosition::start_of(2));
     /// ```
     pub fn news_of(&self, part: StorePart) -> StorePosition {
         self.changed.of(part).max(StorePosition::start_of(self.read.of(part).era))
     }
 }
 
-/// A relay's answer to the question how old its proof is that it knows all that the operator wrote.
+/// A relay's response to the question how old its freshness proof is: the proof that it knows all
+/// that the operator had written at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofWord {
-    /// Position at which something last changed that matters.
+    /// Position of the last change that matters.
     pub changed: StorePosition,
-    /// Position from which on it has followed the changes.
+    /// Position from which on the sender has followed changes.
     pub since: StorePosition,
-    /// Age of the proof when the answer was given.
+    /// Age of the proof when the response was sent.
     pub age: Duration,
 }
 
-/// What a relay knows of one part of the store.
+/// Freshness of one part of the store.
 #[derive(Clone, Copy, Debug, Default)]
 struct PartKnowledge {
-    /// When it was known to be complete, by this relay's own reading.
+    /// When the part was last known to be complete by this relay's own read.
     read_at: Option<MonoTime>,
-    /// The same by its own reading or another relay's.
+    /// When the part was last known to be complete, by this relay's own read or another relay's.
     complete_at: Option<MonoTime>,
 }
 
-/// What a relay knows of the store, and since when.
+/// A relay's knowledge of the store: positions of each part and how fresh they are.
 ///
 /// ```
 /// use std::time::Duration;
@@ -108,12 +112,13 @@
     since: ReadPositions,
     operator: PartKnowledge,
     replicas: PartKnowledge,
-    /// A moment of which it is proved that all that the operator had written by then is known.
+    /// Latest moment for which it is proved that everything the operator had written by then is
+    /// known.
     proved_at: Option<MonoTime>,
 }
 
 impl StoreKnowledge {
-    /// Positions up to which the parts are known.
+    /// Returns the positions up to which the parts are known.
     ///
     /// ```
     /// use quillcove_core::relay::knowledge::StoreKnowledge;
@@ -124,7 +129,8 @@
         self.read
     }
 
-    /// Notes that this relay has read a part up to a position, and that it was complete at a moment.
+    /// Records that this relay has read a part up to `position`, and that the part was complete at
+    /// `complete_at`.
     ///
     /// See [`StoreKnowledge`] for an example.
     pub fn note_read(&mut self, part: StorePart, position: StorePosition, complete_at: MonoTime) {
@@ -134,7 +140,8 @@
         known.complete_at = known.complete_at.max(Some(complete_at));
     }
 
-    /// Notes that a part was read whole at a position: what had gone before that is not known.
+    /// Records that a part was read whole at `position`: changes before that position were not
+    /// seen.
     ///
     /// ```
     /// use std::time::Duration;
@@ -150,7 +157,7 @@
         self.since.note(part, position);
     }
 
-    /// Notes a position up to which a part is known, with no moment.
+    /// Records the position up to which a part is known, without changing its age.
     ///
     /// ```
     /// use quillcove_core::relay::position::StorePosition;
@@ -165,7 +172,7 @@
         self.read.note(part, position);
     }
 
-    /// Notes a position at which something changed that matters to relays.
+    /// Records the position of a change that matters to relays.
     ///
     /// ```
     /// use quillcove_core::relay::position::StorePosition;
@@ -178,7 +185,8 @@
         self.changed.note(part, position);
     }
 
-    /// The moment of which it is proved that all that the operator had written by then is known.
+    /// Returns the latest moment for which it is proved that everything the operator had written by
+    /// then is known.
     ///
     /// ```
     /// use quillcove_core::relay::knowledge::StoreKnowledge;
@@ -189,7 +197,7 @@
         self.proved_at
     }
 
-    /// Notes such a moment: the beginning of a reading of this relay's own.
+    /// Records a freshness proof for `at`, the start of a read by this relay itself.
     ///
     /// ```
     /// use std::time::Duration;
@@ -203,8 +211,9 @@
         self.proved_at = self.proved_at.max(Some(at));
     }
 
-    /// Takes another relay's answer to a question for its proof. It counts from when it was asked, and
-    /// only where that relay knows of nothing that this one does not.
+    /// Applies another relay's freshness proof. Its age counts back from `asked_at`, when the
+    /// request was sent. The proof is ignored when the other relay knows of a change that this one
+    /// lacks, or has not followed the changes after the position known here.
     ///
     /// ```
     /// use std::time::Duration;
@@ -212,24 +221,24 @@
     /// use quillcove_core::relay::knowledge::{ProofWord, StoreKnowledge};
     ///
     /// let (changed, since) = (StorePosition::in_first_era(7), StorePosition::in_first_era(3));
-    /// let word = ProofWord { changed, since, age: Duration::from_secs(1) };
+    /// let proof = ProofWord { changed, since, age: Duration::from_secs(1) };
     /// let mut knowledge = StoreKnowledge::default();
-    /// knowledge.take_proof(&word, Duration::from_secs(9));
+    /// knowledge.take_proof(&proof, Duration::from_secs(9));
     /// assert_eq!(knowledge.proved_at(), None);
     /// knowledge.note_read(StorePart::Operator, StorePosition::in_first_era(8), Duration::ZERO);
-    /// knowledge.take_proof(&word, Duration::from_secs(9));
+    /// knowledge.take_proof(&proof, Duration::from_secs(9));
     /// assert_eq!(knowledge.proved_at(), Some(Duration::from_secs(8)));
     /// # use quillcove_core::relay::published::StorePart;
     /// ```
-    pub fn take_proof(&mut self, word: &ProofWord, asked_at: MonoTime) {
+    pub fn take_proof(&mut self, proof: &ProofWord, asked_at: MonoTime) {
         let known = self.read.operator;
-        // Who has read nothing yet has nothing that a proof could be of.
-        if known > StorePosition::default() && word.changed <= known && word.since <= known {
-            self.note_proof(asked_at.saturating_sub(word.age));
+        // A relay that has not read anything yet has no state that a proof could apply to.
+        if known > StorePosition::default() && proof.changed <= known && proof.since <= known {
+            self.note_proof(asked_at.saturating_sub(proof.age));
         }
     }
 
-    /// The answer to another relay's question for a proof; `None` without one.
+    /// Returns the response to another relay's request for a freshness proof; `None` without one.
     ///
     /// ```
     /// use std::time::Duration;
@@ -242,7 +251,8 @@
         Some(ProofWord { changed: self.changed.operator, since: self.since.operator, age })
     }
 
-    /// What to tell other relays.
+    /// Returns the summary to send to other relays. `is_up` says whether the store answered the
+    /// last call.
     ///
     /// ```
     /// use std::time::Duration;
@@ -257,8 +267,8 @@
         StoreWord { read, changed, since, ages, is_up }
     }
 
-    /// Takes another relay's word on one part; `false` when it knows of a change that this relay does
-    /// not, so that this one has to read for itself.
+    /// Applies another relay's summary of one part. Returns `false` when that relay knows of a
+    /// change that this one lacks, so that this one has to read the store itself.
     ///
     /// ```
     /// use std::time::Duration;
@@ -267,32 +277,32 @@
     /// use quillcove_core::relay::knowledge::{StoreKnowledge, StoreWord};
     ///
     /// let changed = ReadPositions { operator: StorePosition::in_first_era(5), ..ReadPositions::default() };
-    /// let word = StoreWord { changed, ..StoreWord::default() };
+    /// let summary = StoreWord { changed, ..StoreWord::default() };
     /// let mut knowledge = StoreKnowledge::default();
-    /// assert!(!knowledge.take_word(StorePart::Operator, &word, Duration::ZERO));
-    /// assert!(knowledge.take_word(StorePart::Replicas, &word, Duration::ZERO));
+    /// assert!(!knowledge.take_word(StorePart::Operator, &summary, Duration::ZERO));
+    /// assert!(knowledge.take_word(StorePart::Replicas, &summary, Duration::ZERO));
     /// ```
-    pub fn take_word(&mut self, part: StorePart, word: &StoreWord, now: MonoTime) -> bool {
+    pub fn take_word(&mut self, part: StorePart, summary: &StoreWord, now: MonoTime) -> bool {
         let known = self.read.of(part);
-        if word.news_of(part) > known {
+        if summary.news_of(part) > known {
             return false;
         }
-        // An age of an earlier era says nothing of this one.
-        let is_earlier = word.read.of(part).precedes_era(known.era);
-        if is_earlier || word.since.of(part) > known {
+        // The age of a read in an earlier era says nothing about the present one.
+        let is_earlier = summary.read.of(part).precedes_era(known.era);
+        if is_earlier || summary.since.of(part) > known {
             return true;
         }
-        // Who has read nothing yet has nothing that a position could belong to.
-        if let Some(age) = word.ages.of(part)
+        // A relay that has not read the part yet has no state that a position could apply to.
+        if let Some(age) = summary.ages.of(part)
             && self.has_read(part)
         {
-            let (read, changed) = (word.read.of(part), word.changed.of(part));
+            let (read, changed) = (summary.read.of(part), summary.changed.of(part));
             self.note_told(part, read, Some(changed), now.saturating_sub(age));
         }
         true
     }
 
-    /// Tells whether this relay has read a part for itself.
+    /// Returns whether this relay has read a part itself.
     ///
     /// ```
     /// use quillcove_core::relay::published::StorePart;
@@ -307,8 +317,9 @@
         }
     }
 
-    /// Notes that another relay's own reading of a part goes up to a position, that all of it which matters is known
-    /// here, and at which moment it was complete.
+    /// Records that another relay has read a part up to `position` and that it was complete at
+    /// `complete_at`. The caller ensures that every change that matters up to that position is
+    /// known here.
     ///
     /// ```
     /// use std::time::Duration;
@@ -334,7 +345,8 @@
         self.changed.note(part, changed.unwrap_or_default());
     }
 
-    /// Tells whether the knowledge of a part is older than a limit.
+    /// Returns whether the knowledge of a part has reached the age `limit`; always true for a part
+    /// that was never complete.
     ///
     /// ```
     /// use std::time::Duration;
