--- a/quillcove_core/src/relay/position.rs
+++ b/quillcove_core/src/relay/position.rs
@@ -1,7 +1,8 @@
-//! Moments of the platform's store.
+//! Positions in the history of the platform's store.
 //!
-//! The store counts its changes. When it comes back from an older copy of itself, the count goes back and its
-//! revisions are given out again, so that a revision says something only together with the era in which it was given.
+//! The store numbers its changes with revisions. When it is restored from an older copy, the count
+//! goes back and revision numbers are assigned again, so a revision is meaningful only together
+//! with the era in which it was assigned.
 
 use std::fmt;
 
@@ -10,7 +11,8 @@
 use super::published::StorePart;
 use crate::ids::StoreEra;
 
-/// A moment of the store. All moments of an era come after those of the eras before it.
+/// A position in the store's history. Every position of an era is later than all positions of the
+/// eras before it.
 ///
 /// ```
 /// use quillcove_core::relay::position::StorePosition;
@@ -23,14 +25,15 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StorePosition {
-    /// The era.
+    /// Era; incremented each time the store is restored from an older copy.
     pub era: StoreEra,
-    /// The count of changes within it.
+    /// Revision, which counts the changes of the store; unique only within its era.
     pub revision: u64,
 }
 
 impl StorePosition {
-    /// A position in a store that has never come back from a copy, or does not name its era.
+    /// Returns a position in a store that has never been restored from a copy, or that does not
+    /// report its era.
     ///
     /// ```
     /// use quillcove_core::relay::position::StorePosition;
@@ -41,7 +44,8 @@
         Self { era: 0, revision }
     }
 
-    /// The first moment of an era: later than all of the era before, and no later than any of its own.
+    /// Returns the first position of an era: later than all of the era before, and no later than
+    /// any of its own.
     ///
     /// ```
     /// use quillcove_core::relay::position::StorePosition;
@@ -53,7 +57,7 @@
         Self { era, revision: 0 }
     }
 
-    /// Tells whether it belongs to an era before this one.
+    /// Returns whether the position belongs to an era before `era`.
     ///
     /// See [`StorePosition`] for an example.
     pub const fn precedes_era(self, era: StoreEra) -> bool {
@@ -67,17 +71,17 @@
     }
 }
 
-/// Positions in the store up to which a relay knows its parts.
+/// Positions up to which a relay knows the parts of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadPositions {
-    /// For what the operator writes.
+    /// Position in the operator's part.
     pub operator: StorePosition,
-    /// For the listing of replicas.
+    /// Position in the replica list.
     pub replicas: StorePosition,
 }
 
 impl ReadPositions {
-    /// The position of one part.
+    /// Returns the position of one part.
     ///
     /// ```
     /// use quillcove_core::relay::position::{ReadPositions, StorePosition};
@@ -92,7 +96,7 @@
         }
     }
 
-    /// Notes that a part is known up to a position; it never goes back.
+    /// Advances the position of a part; an earlier position has no effect.
     ///
     /// ```
     /// use quillcove_core::relay::position::{ReadPositions, StorePosition};
@@ -111,7 +115,7 @@
         *known = position.max(*known);
     }
 
-    /// Tells whether no part is known further than by another relay.
+    /// Returns whether `other` is at least as far in every part.
     ///
     /// ```
     /// use quillcove_core::relay::position::{ReadPositions, StorePosition};
