--- a/quillcove_core/src/relay/prompt.rs
+++ b/quillcove_core/src/relay/prompt.rs
@@ -1,11 +1,11 @@
-//! What a request asks an engine to read and to write.
+//! Size of a request to an engine: the tokens that it reads and the most that it may generate.
 
-/// A part of a prompt. Engines keep parts that requests share.
+/// A part of a prompt. Engines cache parts, so that requests with a common part share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identifies its content.
+    /// Identifies the content.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
@@ -14,14 +14,15 @@
 pub struct PromptSize {
     /// Tokens of the prompt.
     pub tokens: u32,
-    /// Most tokens of the answer.
+    /// Most tokens that the response may have.
     pub answer_tokens: u32,
-    /// Parts of the prompt, in their order.
+    /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
 }
 
 impl PromptSize {
-    /// Tokens of the prompt and the most of the answer, as limits of workspaces count them.
+    /// Returns the sum of prompt tokens and the most response tokens, as the limits of workspaces
+    /// count them.
     ///
     /// ```
     /// use quillcove_core::relay::prompt::PromptSize;
