--- a/quillcove_core/src/relay/published.rs
+++ b/quillcove_core/src/relay/published.rs
@@ -1,5 +1,4 @@
-//! What the platform has published, as one relay passes it on to another that can not read the
-//! store.
+//! The platform's published state, as one relay sends it to another that can't read the store.
 
 use std::time::Duration;
 
@@ -12,13 +11,13 @@
 use super::sheet::RouteSheet;
 use crate::ids::{AdapterVersion, HallName};
 
-/// A part of the platform's store; each is read by itself, so that one may be known further than
-/// the other.
+/// A part of the platform's store. The parts are read separately, so a relay may know one up to a
+/// later revision than the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StorePart {
-    /// What the operator writes: the sheet and versions of adapters.
+    /// What the operator writes: the configuration, versions of adapters and evacuated halls.
     Operator,
-    /// The listing of replicas.
+    /// The list of replicas.
     Replicas,
 }
 
@@ -27,43 +26,43 @@
     pub const ALL: [Self; 2] = [Self::Operator, Self::Replicas];
 }
 
-/// A replica whose entry lapsed while the store was away.
+/// A replica whose entry expired while the store was unreachable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LapsedEntry {
     /// The replica.
     pub replica: ReplicaId,
-    /// Time that its entry has left to return.
+    /// Time that the entry has left to reappear before the replica is given up.
     pub left: Duration,
 }
 
-/// One start of a replica that leaves.
+/// A replica that is draining, identified by its start where that is known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingReplica {
-    /// Its id.
+    /// Id of the replica.
     pub replica: ReplicaId,
-    /// When it started, where that is known.
+    /// Start time of the process; `None` where it is unknown.
     pub born: Option<StartTime>,
 }
 
 /// One value of the store, or the removal of one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreEvent {
-    /// A new sheet.
+    /// A new configuration.
     Sheet(Box<RouteSheet>),
     /// The newest version of an adapter.
     Version(AdapterKey, AdapterVersion),
-    /// A replica's entry.
+    /// The entry of a replica was added or changed.
     Replica(ReplicaRecord),
-    /// A replica's entry is gone.
+    /// The entry of a replica was removed.
     ReplicaGone(ReplicaId),
-    /// A hall is to be emptied: its replicas get no new work.
+    /// A hall is evacuated: its replicas get no new work.
     HallEmptied(HallName),
     /// A hall is in use again.
     HallInUse(HallName),
 }
 
 impl StoreEvent {
-    /// The part of the store that it is of.
+    /// Returns the part of the store that the event belongs to.
     ///
     /// ```
     /// use quillcove_core::relay::published::{StoreEvent, StorePart};
@@ -79,8 +78,8 @@
         }
     }
 
-    /// Tells whether both say something of the same thing, so that the later one takes the place of the other.
-    fn is_of_same(&self, other: &Self) -> bool {
+    /// Returns whether both events concern the same item, so that the later one replaces the other.
+    fn concerns_same_item(&self, other: &Self) -> bool {
         fn replica(event: &StoreEvent) -> Option<&ReplicaId> {
             match event {
                 StoreEvent::Replica(record) => Some(&record.id),
@@ -105,10 +104,11 @@
     }
 }
 
-/// A change with the revision of the store at which it was made.
+/// A change and the revision of the store that made it.
 pub type RevisedEvent = (StoreEvent, u64);
 
-/// What is there after changes of a part that was read whole.
+/// Applies changes to a part that was read whole: each change replaces the value of the same item,
+/// and removals drop it.
 ///
 /// ```
 /// use quillcove_core::relay::published::{StoreEvent, apply_changes};
@@ -121,10 +121,10 @@
 /// ```
 pub fn apply_changes(whole: &mut Vec<RevisedEvent>, changes: Vec<RevisedEvent>) {
     for (change, revision) in changes {
-        whole.retain(|(event, _)| !event.is_of_same(&change));
+        whole.retain(|(event, _)| !event.concerns_same_item(&change));
         match change {
             StoreEvent::ReplicaGone(_) | StoreEvent::HallInUse(_) => {},
-            there => whole.push((there, revision)),
+            value => whole.push((value, revision)),
         }
     }
 }
@@ -132,24 +132,26 @@
 /// All that a relay has read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PublishedState {
-    /// Positions up to which its parts were read.
+    /// Positions up to which the parts were read.
     pub read: ReadPositions,
-    /// Positions at which something last changed that matters to relays.
+    /// Positions of the last changes that matter to relays.
     pub changed: ReadPositions,
-    /// Positions from which on its changes were followed.
+    /// Positions from which on changes were followed.
     pub since: ReadPositions,
-    /// How old the proof is that all that the operator wrote is known; `None` without one.
+    /// Freshness proof of the operator's part, with its age; `None` without one.
     pub proof: Option<ProofWord>,
-    /// The sheet in force; `None` before the first.
+    /// The configuration in force; `None` before the first.
     pub sheet: Option<RouteSheet>,
     /// Newest versions of adapters.
     pub versions: Vec<HeldAdapter>,
-    /// Halls that are to be emptied.
+    /// Evacuated halls.
     pub emptied: Vec<HallName>,
-    /// Replicas that are listed.
+    /// Listed replicas.
     pub replicas: Vec<ReplicaRecord>,
-    /// Those of them whose entries lapsed while the store was away, and are given up unless they return.
+    /// Listed replicas whose entries expired while the store was unreachable; they are given up
+    /// unless their entries reappear.
     pub lapsed: Vec<LapsedEntry>,
-    /// Replicas that have said themselves that they leave; the list may not know it yet.
+    /// Replicas that have announced themselves that they are draining; the list may not show it
+    /// yet.
     pub leaving: Vec<LeavingReplica>,
 }
