--- a/quillcove_core/src/relay/reading.rs
+++ b/quillcove_core/src/relay/reading.rs
@@ -1,98 +1,101 @@
-//! How long a request waits at an engine until its first event.
+//! Estimates the time to first event: how long a request waits at an engine until its first event.
 //!
-//! Engines read prompts one after another, so what a request waits for is the tokens before it and
-//! its own. A relay knows the tokens that it sent itself; of the other relays' it knows how many
-//! requests wait, from the engine's report, and takes them to be like its own. The time a token
-//! takes is learnt from the first events that came.
+//! Engines process prompts one after another, so a request waits for the tokens queued before it
+//! and for its own. A relay knows the tokens that it sent itself. Of other relays' requests it
+//! knows from the engine's report only how many wait, and assumes that their prompts have the mean
+//! size of its own. The time per token is estimated from the times at which first events arrived.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::ids::MonoTime;
 
-/// Time of a token until one has been seen, in seconds: a prompt of a thousand tokens in 40 ms.
-const FIRST_TOKEN_TIME: f64 = 0.000_04;
+/// Seconds per token until one has been measured: a prompt of a thousand tokens in 40 ms.
+const INITIAL_SECONDS_PER_TOKEN: f64 = 0.000_04;
 
-/// Tokens of a prompt until one has been seen.
-const FIRST_PROMPT: f64 = 1000.0;
+/// Tokens of a prompt until one has been sent.
+const INITIAL_PROMPT_TOKENS: f64 = 1000.0;
 
-/// Share of what was learnt that each newly read prompt replaces.
-const LEARN_SHARE: f64 = 0.08;
+/// Share of the weight of earlier samples that each new sample replaces.
+const SAMPLE_DECAY: f64 = 0.08;
 
-/// Tokens of the whole service's experience that an engine's own is mixed with, so that a few
-/// prompts do not decide what is thought of an engine.
-const COMMON_TOKENS: f64 = 30_000.0;
+/// Weight, in tokens, of the service's average when it is mixed with an engine's own, so that a few
+/// prompts do not decide the estimate for that engine.
+const SERVICE_WEIGHT_TOKENS: f64 = 30_000.0;
 
-/// Least tokens that a prompt counts for: a step of the engine takes as long as reading some.
-const LEAST_TOKENS: f64 = 200.0;
+/// Fewest tokens that a prompt counts for: a step of the engine takes as long as processing some.
+const MIN_PROMPT_TOKENS: f64 = 200.0;
 
-/// A prompt as it goes to an engine.
+/// A prompt as it is sent to an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadingPrompt {
-    /// Its tokens.
+    /// Tokens of the prompt.
     pub tokens: u32,
-    /// Its rank at the engine; lower ones go first.
+    /// Rank at the engine; lower ones go first.
     pub rank: u8,
 }
 
-/// Names one attempt whose prompt is being read.
+/// Identifies an attempt whose prompt is being processed.
 pub type ReadingNumber = u64;
 
-/// Time and tokens of prompts that were read, older ones counting less.
+/// Exponentially decayed sums of the time and tokens of processed prompts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReadingPace {
+pub struct TokenTimeEstimate {
     seconds: f64,
     tokens: f64,
 }
 
-impl ReadingPace {
-    /// Takes the time from sending a prompt until its first event, and the tokens before and of it.
+impl TokenTimeEstimate {
+    /// Records the time from sending a prompt until its first event, and the number of tokens
+    /// processed in that time: those queued before the prompt and its own.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::reading::ReadingPace;
+    /// use quillcove_core::relay::reading::TokenTimeEstimate;
     ///
-    /// let mut pace = ReadingPace::default();
-    /// pace.note(Duration::from_millis(100), 1000.0);
-    /// assert_eq!(pace.token_time(), 0.0001);
+    /// let mut token_time = TokenTimeEstimate::default();
+    /// token_time.record(Duration::from_millis(100), 1000.0);
+    /// assert_eq!(token_time.seconds_per_token(), 0.0001);
     /// ```
-    pub fn note(&mut self, took: Duration, tokens: f64) {
-        self.seconds += took.as_secs_f64() - self.seconds * LEARN_SHARE;
-        self.tokens += tokens - self.tokens * LEARN_SHARE;
+    pub fn record(&mut self, took: Duration, tokens: f64) {
+        self.seconds += took.as_secs_f64() - self.seconds * SAMPLE_DECAY;
+        self.tokens += tokens - self.tokens * SAMPLE_DECAY;
     }
 
-    /// Time of a token, in seconds.
+    /// Returns the seconds per token.
     ///
     /// ```
-    /// assert!(quillcove_core::relay::reading::ReadingPace::default().token_time() > 0.0);
+    /// use quillcove_core::relay::reading::TokenTimeEstimate;
+    ///
+    /// assert!(TokenTimeEstimate::default().seconds_per_token() > 0.0);
     /// ```
-    pub fn token_time(&self) -> f64 {
-        if self.tokens > 0.0 { self.seconds / self.tokens } else { FIRST_TOKEN_TIME }
+    pub fn seconds_per_token(&self) -> f64 {
+        if self.tokens > 0.0 { self.seconds / self.tokens } else { INITIAL_SECONDS_PER_TOKEN }
     }
 
-    /// Time of a token at an engine with this pace in a service with the common one.
-    fn mixed_with(&self, common: &Self) -> f64 {
-        let tokens = self.tokens + COMMON_TOKENS;
-        (self.seconds + common.token_time() * COMMON_TOKENS) / tokens
+    /// Returns the seconds per token of an engine, mixed with the average of its service.
+    fn blended_with(&self, service: &Self) -> f64 {
+        let tokens = self.tokens + SERVICE_WEIGHT_TOKENS;
+        (self.seconds + service.seconds_per_token() * SERVICE_WEIGHT_TOKENS) / tokens
     }
 }
 
-/// What a service's engines have in common.
+/// Averages over all engines of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadingNorm {
-    pace: ReadingPace,
+    token_time: TokenTimeEstimate,
     /// Mean tokens of a prompt.
-    prompt: f64,
+    mean_prompt_tokens: f64,
 }
 
 impl Default for ReadingNorm {
     fn default() -> Self {
-        Self { pace: ReadingPace::default(), prompt: FIRST_PROMPT }
+        Self { token_time: TokenTimeEstimate::default(), mean_prompt_tokens: INITIAL_PROMPT_TOKENS }
     }
 }
 
 impl ReadingNorm {
-    /// Takes the size of a prompt that is sent.
+    /// Records the size of a prompt that is sent.
     ///
     /// ```
     /// use quillcove_core::relay::reading::ReadingNorm;
@@ -100,44 +103,44 @@
     /// ReadingNorm::default().note_prompt(500);
     /// ```
     pub fn note_prompt(&mut self, tokens: u32) {
-        self.prompt += (f64::from(tokens) - self.prompt) * LEARN_SHARE;
+        self.mean_prompt_tokens += (f64::from(tokens) - self.mean_prompt_tokens) * SAMPLE_DECAY;
     }
 }
 
-/// An attempt whose first event has not come.
+/// An attempt whose first event has not arrived yet.
 #[derive(Clone, Copy, Debug)]
-struct ReadingAttempt {
+struct PendingAttempt {
     tokens: f64,
     /// Rank at the engine; lower ones go first.
     rank: u8,
-    /// Tokens that the engine had before it, as it was thought then.
-    before: f64,
+    /// Tokens that the engine had to process before it, as estimated when it was sent.
+    tokens_ahead: f64,
     sent: MonoTime,
 }
 
-/// The prompts that one engine has to read.
+/// The prompts that one engine has yet to process.
 ///
 /// ```
 /// use std::time::Duration;
 /// use quillcove_core::relay::reading::{ReadingNorm, ReadingPrompt, ReadingQueue};
 ///
 /// let prompt = ReadingPrompt { tokens: 1000, rank: 0 };
-/// let (mut queue, mut norm) = (ReadingQueue::default(), ReadingNorm::default());
-/// let alone = queue.time_to_read(prompt, &norm);
-/// queue.begin(1, prompt, &norm, Duration::ZERO);
-/// assert!(queue.time_to_read(prompt, &norm) > alone);
-/// queue.end(1, Some(Duration::from_millis(300)), &mut norm);
+/// let (mut queue, mut averages) = (ReadingQueue::default(), ReadingNorm::default());
+/// let alone = queue.time_to_read(prompt, &averages);
+/// queue.begin(1, prompt, &averages, Duration::ZERO);
+/// assert!(queue.time_to_read(prompt, &averages) > alone);
+/// queue.end(1, Some(Duration::from_millis(300)), &mut averages);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ReadingQueue {
-    attempts: BTreeMap<ReadingNumber, ReadingAttempt>,
+    attempts: BTreeMap<ReadingNumber, PendingAttempt>,
     /// Requests of other relays that waited at the last report.
-    others: u32,
-    pace: ReadingPace,
+    others_waiting: u32,
+    token_time: TokenTimeEstimate,
 }
 
 impl ReadingQueue {
-    /// Notes that a prompt is sent.
+    /// Records that a prompt is sent.
     ///
     /// ```
     /// use std::time::Duration;
@@ -150,16 +153,16 @@
         &mut self,
         number: ReadingNumber,
         prompt: ReadingPrompt,
-        norm: &ReadingNorm,
+        averages: &ReadingNorm,
         now: MonoTime,
     ) {
-        let before = self.tokens_before(prompt.rank, norm);
-        let tokens = f64::from(prompt.tokens).max(LEAST_TOKENS);
-        let attempt = ReadingAttempt { tokens, rank: prompt.rank, before, sent: now };
+        let tokens_ahead = self.tokens_before(prompt.rank, averages);
+        let tokens = f64::from(prompt.tokens).max(MIN_PROMPT_TOKENS);
+        let attempt = PendingAttempt { tokens, rank: prompt.rank, tokens_ahead, sent: now };
         self.attempts.insert(number, attempt);
     }
 
-    /// Notes that an attempt has its first event at this time, or has ended without one.
+    /// Records that an attempt had its first event at `first_event_at`, or ended without one.
     ///
     /// ```
     /// use quillcove_core::relay::reading::{ReadingNorm, ReadingQueue};
@@ -169,21 +172,21 @@
     pub fn end(
         &mut self,
         number: ReadingNumber,
-        read_at: Option<MonoTime>,
-        norm: &mut ReadingNorm,
+        first_event_at: Option<MonoTime>,
+        averages: &mut ReadingNorm,
     ) {
         let Some(attempt) = self.attempts.remove(&number) else {
             return;
         };
-        if let Some(read_at) = read_at {
-            let took = read_at.saturating_sub(attempt.sent);
-            let tokens = attempt.before + attempt.tokens;
-            self.pace.note(took, tokens);
-            norm.pace.note(took, tokens);
+        if let Some(first_event_at) = first_event_at {
+            let took = first_event_at.saturating_sub(attempt.sent);
+            let tokens = attempt.tokens_ahead + attempt.tokens;
+            self.token_time.record(took, tokens);
+            averages.token_time.record(took, tokens);
         }
     }
 
-    /// Takes how many requests wait at the engine, those of this relay included.
+    /// Records the number of requests that wait at the engine, those of this relay included.
     ///
     /// ```
     /// use quillcove_core::relay::reading::ReadingQueue;
@@ -191,18 +194,18 @@
     /// ReadingQueue::default().report(3);
     /// ```
     pub fn report(&mut self, waiting: u32) {
-        self.others = waiting.saturating_sub(self.attempts.len() as u32);
+        self.others_waiting = waiting.saturating_sub(self.attempts.len() as u32);
     }
 
-    /// Tokens that the engine reads before those of a prompt with this rank that is sent now. The
-    /// ranks of other relays' prompts are not known; they are taken to go first.
-    fn tokens_before(&self, rank: u8, norm: &ReadingNorm) -> f64 {
+    /// Estimates the tokens that the engine processes before a prompt of this rank that is sent
+    /// now. The ranks of other relays' prompts are unknown; they are assumed to go first.
+    fn tokens_before(&self, rank: u8, averages: &ReadingNorm) -> f64 {
         let ahead = self.attempts.values().filter(|attempt| attempt.rank <= rank);
         let own: f64 = ahead.map(|attempt| attempt.tokens).sum();
-        own + f64::from(self.others) * norm.prompt
+        own + f64::from(self.others_waiting) * averages.mean_prompt_tokens
     }
 
-    /// Time until the engine has read what it has now.
+    /// Estimates the time until the engine has processed all prompts that it has now.
     ///
     /// ```
     /// use quillcove_core::relay::reading::{ReadingNorm, ReadingQueue};
@@ -210,13 +213,14 @@
     /// let time = ReadingQueue::default().backlog(&ReadingNorm::default());
     /// assert_eq!(time, std::time::Duration::ZERO);
     /// ```
-    pub fn backlog(&self, norm: &ReadingNorm) -> Duration {
+    pub fn backlog(&self, averages: &ReadingNorm) -> Duration {
         Duration::from_secs_f64(
-            self.tokens_before(u8::MAX, norm) * self.pace.mixed_with(&norm.pace),
+            self.tokens_before(u8::MAX, averages)
+                * self.token_time.blended_with(&averages.token_time),
         )
     }
 
-    /// Time until the first event of a request with this prompt that is sent now.
+    /// Estimates the time until the first event of a request with this prompt that is sent now.
     ///
     /// ```
     /// use quillcove_core::relay::reading::{ReadingNorm, ReadingPrompt, ReadingQueue};
@@ -225,9 +229,9 @@
     /// let time = ReadingQueue::default().time_to_read(prompt, &ReadingNorm::default());
     /// assert!(time > std::time::Duration::ZERO);
     /// ```
-    pub fn time_to_read(&self, prompt: ReadingPrompt, norm: &ReadingNorm) -> Duration {
-        let own = f64::from(prompt.tokens).max(LEAST_TOKENS);
-        let pace = self.pace.mixed_with(&norm.pace);
-        Duration::from_secs_f64((self.tokens_before(prompt.rank, norm) + own) * pace)
+    pub fn time_to_read(&self, prompt: ReadingPrompt, averages: &ReadingNorm) -> Duration {
+        let own = f64::from(prompt.tokens).max(MIN_PROMPT_TOKENS);
+        let token_time = self.token_time.blended_with(&averages.token_time);
+        Duration::from_secs_f64((self.tokens_before(prompt.rank, averages) + own) * token_time)
     }
 }
