--- a/quillcove_core/src/relay/report_stream.rs
+++ b/quillcove_core/src/relay/report_stream.rs
@@ -1,10 +1,11 @@
-//! What a loader sends of its engine's report, and what a relay makes of what arrives.
+//! Sending of an engine's report by its loader, and acceptance of such reports by a relay.
 //!
-//! What an engine holds changes about twice a second; how many requests run and wait in it changes
-//! with each request. So a whole report goes out when what the engine holds has changed, and now and
-//! then; between them only the gauges. Datagrams may be lost, doubled and overtake one another: gauges
-//! name the content that they belong to, and a relay that has not had it takes nothing from them and
-//! asks for a whole report.
+//! What an engine holds changes about twice a second, while the numbers of running and waiting
+//! requests change with each request. A loader therefore sends a full report when the content of
+//! the engine has changed and at least once per `FULL_REPORT_INTERVAL`, and only the gauges in
+//! between. Datagrams may be lost, duplicated and reordered, so gauges carry the number of the
+//! content that they belong to. A relay that has not received that content ignores them and
+//! requests a full report.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,14 +14,15 @@
 use super::beacon::{EngineBeacon, EngineReport, GaugeBeacon};
 use crate::ids::MonoTime;
 
-/// Longest time between two whole reports. One that was lost is also asked for, so this bounds the
-/// time for relays whose ask was lost too; it is less than the life of a report.
-const WHOLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest time between two full reports. A relay requests one that was lost, so this bounds the
+/// delay for relays whose request was lost too; it is shorter than the lifetime of a report.
+const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shortest time between two asks for a whole report: what an answer takes on a slow link.
-const RESEND_INTERVAL: Duration = Duration::from_millis(100);
+/// Shortest time between two requests for a full report: the time that a response takes on a slow
+/// link.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Decides which report a loader sends.
+/// Decides whether a loader sends a full report or gauges only.
 ///
 /// ```
 /// use std::time::Duration;
@@ -35,12 +37,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReportSender {
     content: u64,
-    /// The last whole report, and when it was sent.
+    /// The last full report and the time at which it was sent.
     last: Option<(EngineReport, MonoTime)>,
 }
 
 impl ReportSender {
-    /// Tells whether this report has to be sent whole, and takes it as sent.
+    /// Returns whether this report has to be sent in full, and if so records it as sent.
     ///
     /// ```
     /// use std::time::Duration;
@@ -50,20 +52,23 @@
     /// assert!(ReportSender::default().takes_whole(&EngineReport::default(), Duration::ZERO));
     /// ```
     pub fn takes_whole(&mut self, report: &EngineReport, now: MonoTime) -> bool {
-        let is_same = self.last.as_ref().is_some_and(|(last, _)| has_same_content(last, report));
-        let is_recent =
-            self.last.as_ref().is_some_and(|(_, sent)| now.saturating_sub(*sent) < WHOLE_INTERVAL);
-        if !is_same {
+        let is_unchanged =
+            self.last.as_ref().is_some_and(|(last, _)| has_same_content(last, report));
+        let is_recent = self
+            .last
+            .as_ref()
+            .is_some_and(|(_, sent)| now.saturating_sub(*sent) < FULL_REPORT_INTERVAL);
+        if !is_unchanged {
             self.content += 1;
         }
-        if is_same && is_recent {
+        if is_unchanged && is_recent {
             return false;
         }
         self.last = Some((report.clone(), now));
         true
     }
 
-    /// Number of the content that was sent last.
+    /// Returns the number of the content that was sent last.
     ///
     /// ```
     /// use quillcove_core::relay::report_stream::ReportSender;
@@ -75,7 +80,7 @@
     }
 }
 
-/// Tells whether two reports say the same of what an engine holds.
+/// Returns whether two reports agree in what the engine holds; gauges may differ.
 fn has_same_content(a: &EngineReport, b: &EngineReport) -> bool {
     a.models == b.models
         && a.local_models == b.local_models
@@ -84,51 +89,51 @@
         && a.is_leaving == b.is_leaving
 }
 
-/// What a relay makes of gauges.
+/// What a relay does with received gauges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GaugeFate {
-    /// They are older than what is known.
+    /// Ignored: not newer than the last ones accepted.
     Late,
-    /// They belong to the content that is known.
+    /// Accepted: they belong to the content that is known.
     Fits,
-    /// They belong to a content that has not come; nothing is to be taken from them.
+    /// Ignored: they belong to a content that has not been received.
     Lacks {
-        /// Whether to ask for a whole report now.
+        /// Whether to request a full report now.
         asks: bool,
     },
 }
 
-/// What a relay has heard of one loader.
+/// The last accepted message of one loader.
 #[derive(Clone, Copy, Debug)]
-struct HeardLoader {
+struct AcceptedMessage {
     incarnation: u64,
     number: u64,
     content: u64,
 }
 
-/// What a relay has heard of all loaders.
+/// The last accepted message of each loader.
 #[derive(Clone, Debug, Default)]
 pub struct ReportLedger {
-    loaders: HashMap<SocketAddr, HeardLoader>,
-    /// When a whole report was last asked for.
-    asked: HashMap<SocketAddr, MonoTime>,
+    loaders: HashMap<SocketAddr, AcceptedMessage>,
+    /// Time of the last request for a full report.
+    requested_at: HashMap<SocketAddr, MonoTime>,
 }
 
 impl ReportLedger {
-    /// Takes a whole report; tells whether it is newer than what is known.
+    /// Records a full report. Returns `false` when it is not newer than the last accepted message.
     ///
     /// See [`ReportLedger::take_gauges`] for an example.
     pub fn take_whole(&mut self, beacon: &EngineBeacon) -> bool {
-        if self.is_late(beacon.engine, beacon.incarnation, beacon.number) {
+        if self.is_stale(beacon.engine, beacon.incarnation, beacon.number) {
             return false;
         }
         let EngineBeacon { incarnation, number, content, .. } = *beacon;
-        self.loaders.insert(beacon.engine, HeardLoader { incarnation, number, content });
-        self.asked.remove(&beacon.engine);
+        self.loaders.insert(beacon.engine, AcceptedMessage { incarnation, number, content });
+        self.requested_at.remove(&beacon.engine);
         true
     }
 
-    /// Takes gauges.
+    /// Records gauges and returns whether they can be applied.
     ///
     /// ```
     /// use std::time::Duration;
@@ -146,24 +151,25 @@
     /// assert_eq!(fate, GaugeFate::Lacks { asks: true });
     /// ```
     pub fn take_gauges(&mut self, beacon: &GaugeBeacon, now: MonoTime) -> GaugeFate {
-        if self.is_late(beacon.engine, beacon.incarnation, beacon.number) {
+        if self.is_stale(beacon.engine, beacon.incarnation, beacon.number) {
             return GaugeFate::Late;
         }
         let known = self.loaders.get_mut(&beacon.engine);
-        let fitting = known.filter(|heard| {
-            heard.incarnation == beacon.incarnation && heard.content == beacon.content
+        let current = known.filter(|accepted| {
+            accepted.incarnation == beacon.incarnation && accepted.content == beacon.content
         });
-        match fitting {
-            Some(heard) => {
-                heard.number = beacon.number;
+        match current {
+            Some(accepted) => {
+                accepted.number = beacon.number;
                 GaugeFate::Fits
             },
-            // The number is not taken: the whole report may only have been overtaken.
-            None => GaugeFate::Lacks { asks: self.may_ask(beacon.engine, now) },
+            // The number is not recorded: the full report of this content may still arrive after
+            // these gauges.
+            None => GaugeFate::Lacks { asks: self.try_request(beacon.engine, now) },
         }
     }
 
-    /// Forgets what is known of a loader, as this relay no longer has its report.
+    /// Removes a loader whose report this relay has discarded.
     ///
     /// ```
     /// use quillcove_core::relay::report_stream::ReportLedger;
@@ -174,7 +180,7 @@
         self.loaders.remove(&engine);
     }
 
-    /// Keeps the loaders of some engines only.
+    /// Retains only the loaders of engines for which `is_there` returns true.
     ///
     /// ```
     /// use quillcove_core::relay::report_stream::ReportLedger;
@@ -183,21 +189,22 @@
     /// ```
     pub fn retain(&mut self, is_there: impl Fn(SocketAddr) -> bool) {
         self.loaders.retain(|engine, _| is_there(*engine));
-        self.asked.retain(|engine, _| is_there(*engine));
+        self.requested_at.retain(|engine, _| is_there(*engine));
     }
 
-    fn is_late(&self, engine: SocketAddr, incarnation: u64, number: u64) -> bool {
-        self.loaders
-            .get(&engine)
-            .is_some_and(|heard| heard.incarnation == incarnation && heard.number >= number)
+    fn is_stale(&self, engine: SocketAddr, incarnation: u64, number: u64) -> bool {
+        self.loaders.get(&engine).is_some_and(|accepted| {
+            accepted.incarnation == incarnation && accepted.number >= number
+        })
     }
 
-    fn may_ask(&mut self, engine: SocketAddr, now: MonoTime) -> bool {
-        let is_recent = |asked: &MonoTime| now.saturating_sub(*asked) < RESEND_INTERVAL;
-        if self.asked.get(&engine).is_some_and(is_recent) {
+    fn try_request(&mut self, engine: SocketAddr, now: MonoTime) -> bool {
+        let is_recent =
+            |requested_at: &MonoTime| now.saturating_sub(*requested_at) < REQUEST_INTERVAL;
+        if self.requested_at.get(&engine).is_some_and(is_recent) {
             return false;
         }
-        self.asked.insert(engine, now);
+        self.requested_at.insert(engine, now);
         true
     }
 }
