--- a/quillcove_core/src/relay/roll.rs
+++ b/quillcove_core/src/relay/roll.rs
@@ -1,8 +1,10 @@
-//! The relays that a loader hears, and which of them it names to the others.
+//! Membership list of a loader: the relays whose heartbeats it receives, and the choice of those
+//! that a report names.
 //!
-//! Each report names a few relays, so that relays which do not know each other yet meet. A list of all
-//! 68 relays took half of a report. Loaders begin at different places of the list, so that the reports
-//! of one second from 78 loaders name every relay with a chance of 99 in 100.
+//! Each report names a few relays, so that relays which do not know each other yet learn of each
+//! other. A list of all 68 relays took half of a report. Loaders start at different indices of
+//! the list, so that the reports of one second from 78 loaders name any given relay with a
+//! probability of 99 in 100.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,13 +12,14 @@
 
 use crate::ids::MonoTime;
 
-/// Relays that one report names.
-const NAMED_AT_ONCE: usize = 4;
+/// Number of relays that one report names.
+const RELAYS_PER_REPORT: usize = 4;
 
-/// Time for which a relay that was heard gets reports; relays announce themselves twice a second.
+/// Time after its last heartbeat for which a relay gets reports; relays send a heartbeat twice a
+/// second.
 const RELAY_LIFETIME: Duration = Duration::from_millis(2200);
 
-/// The relays that a loader has heard lately.
+/// Relays whose heartbeats a loader has received within the last 2.2 seconds.
 ///
 /// ```
 /// use std::time::Duration;
@@ -28,13 +31,13 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RelayRoll {
-    heard: BTreeMap<SocketAddr, MonoTime>,
-    /// Place in the list from which the next report names relays.
+    last_heartbeat: BTreeMap<SocketAddr, MonoTime>,
+    /// Index in the list from which the next report names relays.
     next: usize,
 }
 
 impl RelayRoll {
-    /// An empty one; the seed decides where in the list it begins to name relays.
+    /// Creates an empty list; the seed determines the index at which naming starts.
     ///
     /// ```
     /// use quillcove_core::relay::roll::RelayRoll;
@@ -42,10 +45,10 @@
     /// assert_eq!(RelayRoll::new(7).all().count(), 0);
     /// ```
     pub fn new(seed: u64) -> Self {
-        Self { heard: BTreeMap::new(), next: (seed >> 1) as usize }
+        Self { last_heartbeat: BTreeMap::new(), next: (seed >> 1) as usize }
     }
 
-    /// Notes that a relay was heard; tells whether it is new.
+    /// Records a heartbeat of a relay. Returns whether the relay is new.
     ///
     /// ```
     /// use std::time::Duration;
@@ -57,10 +60,10 @@
     /// assert!(!roll.hear(relay, Duration::ZERO));
     /// ```
     pub fn hear(&mut self, relay: SocketAddr, now: MonoTime) -> bool {
-        self.heard.insert(relay, now).is_none()
+        self.last_heartbeat.insert(relay, now).is_none()
     }
 
-    /// Forgets relays that were not heard lately, and names them.
+    /// Removes the relays whose last heartbeat is too old, and returns them.
     ///
     /// ```
     /// use std::time::Duration;
@@ -71,16 +74,18 @@
     /// assert_eq!(roll.forget(Duration::from_secs(3)).len(), 1);
     /// ```
     pub fn forget(&mut self, now: MonoTime) -> Vec<SocketAddr> {
-        let is_silent = |heard: &MonoTime| now.saturating_sub(*heard) >= RELAY_LIFETIME;
-        let silent = self.heard.iter().filter(|(_, heard)| is_silent(heard));
-        let silent: Vec<SocketAddr> = silent.map(|(relay, _)| *relay).collect();
-        for relay in &silent {
-            self.heard.remove(relay);
+        let is_expired =
+            |last_heartbeat: &MonoTime| now.saturating_sub(*last_heartbeat) >= RELAY_LIFETIME;
+        let expired =
+            self.last_heartbeat.iter().filter(|(_, last_heartbeat)| is_expired(last_heartbeat));
+        let expired: Vec<SocketAddr> = expired.map(|(relay, _)| *relay).collect();
+        for relay in &expired {
+            self.last_heartbeat.remove(relay);
         }
-        silent
+        expired
     }
 
-    /// All of them.
+    /// Returns all relays in the list.
     ///
     /// ```
     /// use quillcove_core::relay::roll::RelayRoll;
@@ -88,10 +93,10 @@
     /// assert_eq!(RelayRoll::default().all().count(), 0);
     /// ```
     pub fn all(&self) -> impl Iterator<Item = SocketAddr> {
-        self.heard.keys().copied()
+        self.last_heartbeat.keys().copied()
     }
 
-    /// The relays that the next report names.
+    /// Returns the relays that the next report names, and advances to the ones after them.
     ///
     /// ```
     /// use quillcove_core::relay::roll::RelayRoll;
@@ -99,12 +104,18 @@
     /// assert!(RelayRoll::default().name_some().is_empty());
     /// ```
     pub fn name_some(&mut self) -> Vec<SocketAddr> {
-        let count = self.heard.len();
+        let count = self.last_heartbeat.len();
         if count == 0 {
             return Vec::new();
         }
         let start = self.next % count;
-        self.next = start + NAMED_AT_ONCE;
-        self.heard.keys().cycle().skip(start).take(NAMED_AT_ONCE.min(count)).copied().collect()
+        self.next = start + RELAYS_PER_REPORT;
+        self.last_heartbeat
+            .keys()
+            .cycle()
+            .skip(start)
+            .take(RELAYS_PER_REPORT.min(count))
+            .copied()
+            .collect()
     }
 }
