--- a/quillcove_core/src/relay/sheet.rs
+++ b/quillcove_core/src/relay/sheet.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services and limits.
+//! The platform's published configuration: routes, services and limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,15 +11,15 @@
 use crate::route::{RouteRecord, RouteTable};
 use crate::standing::limit::RateLimit;
 
-/// Version of a route sheet; the platform raises it with each change.
+/// Version of a configuration; the platform increments it with each change.
 pub type SheetVersion = u64;
 
 /// A base model of an engine service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelRecord {
-    /// Name.
+    /// Name of the model.
     pub name: ModelName,
-    /// Memory of its weights, in MB.
+    /// Memory of the weights, in MB.
     pub weights_mb: f64,
     /// Memory of one adapter, in MB.
     pub adapter_mb: f64,
@@ -29,21 +29,21 @@
     pub disk_load_time: Duration,
 }
 
-/// What is known of the engines of a service.
+/// Properties of the engines of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// Base models that they may hold; the first is the busiest.
+    /// Base models that the engines may hold; the one with the most traffic comes first.
     pub models: Vec<ModelRecord>,
     /// Memory for weights and adapters, in MB.
     pub weights_mb: f64,
-    /// Most adapters that one engine holds.
+    /// Number of adapter slots of an engine.
     pub adapter_places: usize,
-    /// Loads a second that the weight store permits over all engines.
+    /// Loads per second that the weight store permits over all engines.
     pub loads_per_second: f64,
 }
 
 impl EngineRecord {
-    /// Adapters for which an engine has room beside a base model.
+    /// Returns the number of adapters that fit into an engine beside a base model.
     ///
     /// ```
     /// use quillcove_core::relay::sheet::EngineRecord;
@@ -65,7 +65,7 @@
         self.adapter_places.min(by_memory)
     }
 
-    /// Time between the starts of two loads from the weight store.
+    /// Returns the time between the starts of two loads from the weight store.
     ///
     /// ```
     /// use std::time::Duration;
@@ -80,42 +80,44 @@
     /// assert_eq!(engine.load_pace(), Duration::from_millis(500));
     /// ```
     pub fn load_pace(&self) -> Duration {
-        Duration::from_secs_f64(1.0 / self.loads_per_second.max(SLOWEST_RATE))
+        Duration::from_secs_f64(1.0 / self.loads_per_second.max(MIN_LOADS_PER_SECOND))
     }
 }
 
-/// Loads a second when the platform names none, so that a pause between two is defined.
-const SLOWEST_RATE: f64 = 0.1;
+/// Lower bound for the load rate, so that the interval between loads is finite when the platform
+/// names no rate.
+const MIN_LOADS_PER_SECOND: f64 = 0.1;
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// Name.
+    /// Name of the service.
     pub name: ServiceName,
     /// Connections that one replica accepts from all callers together.
     pub connection_limit: usize,
-    /// Requests that one replica bears from all callers together while it is cold; `None` where that is not
-    /// limited.
+    /// Request rate that one replica can take from all callers together during its warm-up; `None`
+    /// where it is not limited.
     pub cold_rate: Option<RateLimit>,
-    /// Given for model engines; `None` for plain services.
+    /// Engine properties; `None` for plain services.
     pub engine: Option<EngineRecord>,
 }
 
-/// Limits of what callers may send.
+/// Limits for requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Largest request head, in bytes.
     pub header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head, and for a body, to arrive.
+    /// Timeout for the arrival of a request head, and of a body.
     pub read_timeout: Duration,
-    /// Time after which an unused connection is closed.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Used until a sheet is in force; the values are those of hyper's own defaults or near them.
+    /// Returns the limits that apply until a configuration is in force; the values are hyper's own
+    /// defaults or close to them.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -126,29 +128,29 @@
     }
 }
 
-/// One version of the whole configuration.
+/// One version of the published configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteSheet {
-    /// Version; only growing ones are taken.
+    /// Version; a configuration is applied only if its version is higher than the one in force.
     pub version: SheetVersion,
     /// Routes by host and path.
     routes: RouteTable,
     /// Services by name.
     services: HashMap<ServiceName, Arc<ServiceRecord>>,
-    /// Limits of what callers may send.
+    /// Limits for requests of callers.
     pub limits: CallerLimits,
     /// Workspaces; `None` where requests need no key.
     access: Option<Arc<AccessTable>>,
 }
 
 impl RouteSheet {
-    /// A sheet of these parts.
+    /// Creates a configuration without workspaces.
     ///
     /// ```
     /// use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
     ///
-    /// let sheet = RouteSheet::new(7, Vec::new(), Vec::new(), CallerLimits::default());
-    /// assert!(sheet.find_route("a.example", "/").is_none());
+    /// let config = RouteSheet::new(7, Vec::new(), Vec::new(), CallerLimits::default());
+    /// assert!(config.find_route("a.example", "/").is_none());
     /// ```
     pub fn new(
         version: SheetVersion,
@@ -156,33 +158,35 @@
         services: Vec<ServiceRecord>,
         limits: CallerLimits,
     ) -> Self {
-        let named = |service: ServiceRecord| (service.name.clone(), Arc::new(service));
-        let services = services.into_iter().map(named).collect();
+        let by_name = |service: ServiceRecord| (service.name.clone(), Arc::new(service));
+        let services = services.into_iter().map(by_name).collect();
         Self { version, routes: RouteTable::new(routes), services, limits, access: None }
     }
 
-    /// The same sheet with workspaces, so that routes which are not public need a key.
+    /// Returns the same configuration with workspaces, so that routes which are not public need a
+    /// key.
     ///
     /// ```
     /// use quillcove_core::access::workspace::AccessTable;
     /// use quillcove_core::relay::sheet::RouteSheet;
     ///
-    /// let sheet = RouteSheet::default().with_access(AccessTable::default());
-    /// assert!(sheet.access().is_some());
+    /// let config = RouteSheet::default().with_access(AccessTable::default());
+    /// assert!(config.access().is_some());
     /// ```
     pub fn with_access(mut self, access: AccessTable) -> Self {
         self.access = Some(Arc::new(access));
         self
     }
 
-    /// The workspaces; `None` where requests need no key.
+    /// Returns the workspaces; `None` where requests need no key.
     ///
     /// See [`RouteSheet::with_access`] for an example.
     pub fn access(&self) -> Option<&Arc<AccessTable>> {
         self.access.as_ref()
     }
 
-    /// The route of a host and path: the one with the longest prefix that begins the path.
+    /// Returns the route for a host and path: the one with the longest prefix that matches the
+    /// path.
     ///
     /// ```
     /// use quillcove_core::relay::sheet::RouteSheet;
@@ -193,7 +197,7 @@
         self.routes.find(host, path)
     }
 
-    /// A service by its name.
+    /// Returns a service by its name.
     ///
     /// ```
     /// use quillcove_core::relay::sheet::RouteSheet;
@@ -204,7 +208,7 @@
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services, in no particular order.
     ///
     /// ```
     /// use quillcove_core::relay::sheet::RouteSheet;
@@ -215,7 +219,7 @@
         self.services.values()
     }
 
-    /// All routes.
+    /// Returns all routes.
     ///
     /// ```
     /// use quillcove_core::relay::sheet::RouteSheet;
@@ -226,7 +230,7 @@
         self.routes.iter()
     }
 
-    /// Number of routes.
+    /// Returns the number of routes.
     ///
     /// ```
     /// use quillcove_core::relay::sheet::RouteSheet;
