--- a/quillcove_core/src/relay/store_duty.rs
+++ b/quillcove_core/src/relay/store_duty.rs
@@ -1,16 +1,20 @@
-//! Who reads the platform's store, and how old a relay's knowledge of it may get.
+//! Choice of the relays that read the platform's store directly, and limits for the age of the
+//! other relays' knowledge of it.
 //!
-//! In a large fleet a few relays of each hall watch the store, and the others are told: each relay's
-//! beacon says up to which revision it knows each part of the store, since when that was known to be
-//! complete, and at which revision something last changed that matters. A relay that is told of no such
-//! change takes over the revision and the age. One that is told of a change, or whose knowledge gets
-//! older than its limit, reads for itself, whoever else is to read. So the age of every belief is
-//! bounded with no agreement on who reads: readers may be killed, paused, cut off or turned away.
+//! In a large fleet a few relays of each hall, the direct readers, watch the store; the others are
+//! followers. The heartbeat of each relay states the revision up to which it knows each part of the
+//! store, the age of that knowledge, and the revision of the last change that matters. A follower
+//! that receives a heartbeat without a new change adopts its revision and age. A follower that
+//! learns of a change it lacks, or whose knowledge exceeds its age limit, reads the store itself,
+//! whichever relays are the direct readers. The age of all knowledge is therefore bounded without
+//! any agreement on who reads: direct readers may be killed, suspended, partitioned or rejected by
+//! the store.
 //!
-//! A beacon tells the age of the relay's own last reading only. The time that a beacon is on its way is
-//! missing in the age that is told; passed on from relay to relay, an age would stay young for ever.
+//! A heartbeat states only the age of the relay's own last read. The age does not include the
+//! heartbeat's transit time, so if relays passed on ages that they received, an age would never
+//! grow.
 //!
-//! With 68 relays that all watched, calls of the store cost 0.06 to 0.10 of the worth of a day.
+//! With 68 relays that all watched the store, its calls cost 0.06 to 0.10 of a day's value.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -22,52 +26,55 @@
 use crate::ids::{HallName, HostId};
 use crate::rendezvous;
 
-/// Relays of a fleet in which all read: fewer calls would save less than they risk.
-const SMALL_FLEET: usize = 8;
+/// Largest fleet in which all relays read directly: there, fewer calls would save less than they
+/// risk.
+const MAX_FLEET_WITHOUT_FOLLOWERS: usize = 8;
 
-/// Relays that read, over all halls, and one of each hall at least: so many may be lost at once before
-/// others wait for their limit. Every relay hears the readers of all halls.
-const READERS: usize = 3;
+/// Number of direct readers over all halls, with at least one in each hall. This many may be lost
+/// at once before followers have to wait for their age limit, as every relay receives the
+/// heartbeats of the direct readers of all halls.
+const DIRECT_READERS: usize = 3;
 
-/// Part of the users' bounds that is left for a relay's own read of the store and for the way of a
-/// beacon through a busy host.
-const OWN_READ_TIME: Duration = Duration::from_millis(900);
+/// Part of the users' time bounds that is reserved for a relay's own read of the store and for the
+/// delay of a heartbeat on a busy host.
+const OWN_READ_RESERVE: Duration = Duration::from_millis(900);
 
-/// Span over which the age limits of relays are spread, so that not all read at once when no reader is
-/// heard; those that come first tell the others.
-const LIMIT_SPREAD: Duration = Duration::from_millis(400);
+/// Span over which the age limits of relays are spread, so that they do not all read at once when
+/// no heartbeat of a direct reader arrives; the first ones to read inform the others.
+const AGE_LIMIT_SPREAD: Duration = Duration::from_millis(400);
 
-/// Time between a reader's answer and its word of the next one when nothing changes, beside its watch
-/// and the pause in which changes gather: the beacon that tells of it, and the ways.
-const TELLING_TIME: Duration = Duration::from_millis(700);
+/// Time between two reports of unchanged state by a direct reader, beyond its watch and the pause
+/// in which changes accumulate: the interval of heartbeats and the network delays.
+const PROPAGATION_TIME: Duration = Duration::from_millis(700);
 
-/// Shortest watch of a reader; with less, being told would not save calls.
-const LEAST_WATCH: Duration = Duration::from_millis(300);
+/// Shortest watch of a direct reader; with a shorter one, followers would save no calls.
+const MIN_WATCH: Duration = Duration::from_millis(300);
 
-/// Longest watch of a reader: a hung one is noticed by the others within this time.
-const MOST_WATCH: Duration = Duration::from_millis(1500);
+/// Longest watch of a direct reader: the others notice a hung one within this time.
+const MAX_WATCH: Duration = Duration::from_millis(1500);
 
 /// How a relay learns what the store publishes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub enum StoreDuty {
-    /// It watches the store.
+    /// As a direct reader, it watches the store.
     #[default]
     Watches,
-    /// It is told by others, and reads the store only when it must.
+    /// As a follower, it learns changes from direct readers, and reads the store only when it has
+    /// to.
     IsTold,
 }
 
-/// Why a relay that is told reads the store for itself.
+/// Why a follower reads the store itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadReason {
-    /// Another relay knows of a change that this one does not.
+    /// Another relay knows of a change that this one lacks.
     ChangeTold,
-    /// What it was told last is too old.
+    /// The knowledge of a part is too old.
     KnowledgeOld,
 }
 
 impl ReadReason {
-    /// Its name in log lines and metrics.
+    /// Returns the name for log lines and metrics.
     ///
     /// ```
     /// use quillcove_core::relay::store_duty::ReadReason;
@@ -82,21 +89,21 @@
     }
 }
 
-/// The users' bounds for what is published.
+/// The users' time bounds for published changes, and the pauses between reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DutyRules {
-    /// Time within which what the operator writes is in force.
+    /// Time within which changes by the operator have to be in force.
     pub apply_time: Duration,
-    /// Time within which replicas that leave get no more work.
+    /// Time within which draining replicas have to get no more work.
     pub drain_time: Duration,
-    /// Pause between two readings of what the operator writes, in which changes gather.
+    /// Pause between two reads of the operator's part, in which changes accumulate.
     pub operator_gather: Duration,
-    /// The same for the listing of replicas.
+    /// Pause between two reads of the replica list.
     pub replica_gather: Duration,
 }
 
 impl Default for DutyRules {
-    /// Those of the users' smaller deployments, with which every relay reads.
+    /// Returns the bounds of the users' smaller deployments, with which every relay reads directly.
     fn default() -> Self {
         Self {
             apply_time: Duration::from_secs(2),
@@ -108,7 +115,8 @@
 }
 
 impl DutyRules {
-    /// Age of a part's knowledge at which a relay reads for itself. `host` spreads the limits.
+    /// Returns the age of a part's knowledge at which a relay reads the store itself. A hash of
+    /// `host` spreads the limits.
     ///
     /// ```
     /// use std::time::Duration;
@@ -119,20 +127,21 @@
     /// assert!(limit <= Duration::from_millis(1100));
     /// ```
     pub fn age_limit(&self, part: StorePart, host: &str) -> Duration {
-        let spread = rendezvous::weight("age limit", host) as f64 / u64::MAX as f64;
-        self.most_age(part).saturating_sub(LIMIT_SPREAD.mul_f64(spread))
+        let fraction = rendezvous::weight("age limit", host) as f64 / u64::MAX as f64;
+        self.max_age(part).saturating_sub(AGE_LIMIT_SPREAD.mul_f64(fraction))
     }
 
-    fn most_age(&self, part: StorePart) -> Duration {
+    fn max_age(&self, part: StorePart) -> Duration {
         let bound = match part {
             StorePart::Operator => self.apply_time,
             StorePart::Replicas => self.drain_time,
         };
-        bound.saturating_sub(OWN_READ_TIME)
+        bound.saturating_sub(OWN_READ_RESERVE)
     }
 
-    /// Longest watch of a reader whose knowledge of a part stays younger than every limit; `None` when
-    /// the users' bounds leave no time for being told of both parts.
+    /// Returns the longest watch with which a direct reader keeps the knowledge of followers
+    /// younger than every age limit; `None` when the users' bounds leave too little time to relay
+    /// both parts to followers.
     ///
     /// ```
     /// use std::time::Duration;
@@ -146,42 +155,44 @@
     /// assert_eq!(watch, Some(Duration::from_millis(1400)));
     /// ```
     pub fn watch_time(&self, part: StorePart) -> Option<Duration> {
-        let is_told = StorePart::ALL.into_iter().all(|part| self.time_left(part) >= LEAST_WATCH);
-        is_told.then(|| self.time_left(part).min(MOST_WATCH))
+        let leaves_time =
+            StorePart::ALL.into_iter().all(|part| self.watch_budget(part) >= MIN_WATCH);
+        leaves_time.then(|| self.watch_budget(part).min(MAX_WATCH))
     }
 
-    /// Time that a watch of a part may take.
-    fn time_left(&self, part: StorePart) -> Duration {
+    /// Returns the time that a watch of a part may take.
+    fn watch_budget(&self, part: StorePart) -> Duration {
         let gather_time = match part {
             StorePart::Operator => self.operator_gather,
             StorePart::Replicas => self.replica_gather,
         };
-        self.most_age(part).saturating_sub(LIMIT_SPREAD + TELLING_TIME + gather_time)
+        self.max_age(part).saturating_sub(AGE_LIMIT_SPREAD + PROPAGATION_TIME + gather_time)
     }
 }
 
-/// A relay as far as the choice of readers goes.
+/// A relay as a candidate for direct reader.
 #[derive(Clone, Copy, Debug)]
 pub struct ReaderCandidate<'a> {
-    /// Its host.
+    /// Host of the relay.
     pub host: &'a HostId,
-    /// Its hall.
+    /// Hall of the relay.
     pub hall: &'a HallName,
     /// Whether the store answered its last call.
     pub is_up: bool,
 }
 
-/// Tells whether a fleet of this relay and so many others is large enough for some to be told.
+/// Returns whether a fleet of this relay and `others` more is large enough to have followers.
 ///
 /// ```
 /// assert!(!quillcove_core::relay::store_duty::is_large(3));
 /// ```
 pub fn is_large(others: usize) -> bool {
-    others >= SMALL_FLEET
+    others >= MAX_FLEET_WITHOUT_FOLLOWERS
 }
 
-/// The duty of one relay among others. Every relay finds the same readers as far as it hears the same
-/// relays; where they differ, more of them read, or limits pass.
+/// Chooses whether a relay reads directly or follows. All relays choose the same direct readers as
+/// far as they receive heartbeats from the same relays; where these differ, more relays read, or
+/// followers reach their age limits.
 ///
 /// ```
 /// use quillcove_core::relay::store_duty::{DutyRules, ReaderCandidate, StoreDuty, duty};
@@ -195,22 +206,22 @@
     own: ReaderCandidate<'_>,
     others: &[ReaderCandidate<'_>],
 ) -> StoreDuty {
-    // A relay whose last call failed follows the store until it answers: only so does it know when
-    // its own way to the store is back.
+    // A relay whose last call failed watches the store until it answers; otherwise it would not
+    // notice when its own connection to the store works again.
     if !is_large(others.len()) || !own.is_up || rules.watch_time(StorePart::Replicas).is_none() {
         return StoreDuty::Watches;
     }
-    let up = others.iter().filter(|other| other.is_up).chain([&own]);
+    let reachable = others.iter().filter(|other| other.is_up).chain([&own]);
     let mut halls: BTreeMap<&HallName, Vec<&HostId>> = BTreeMap::new();
-    for candidate in up {
+    for candidate in reachable {
         halls.entry(candidate.hall).or_default().push(candidate.host);
     }
-    let in_each = READERS.div_ceil(halls.len());
+    let readers_per_hall = DIRECT_READERS.div_ceil(halls.len());
     let hosts = halls.get_mut(own.hall).map(std::mem::take).unwrap_or_default();
     let rank = |host: &HostId| Reverse(rendezvous::weight("reader", host));
     let own_rank = rank(own.host);
-    let ahead = hosts.into_iter().filter(|host| rank(host) < own_rank).count();
-    match ahead < in_each {
+    let higher_ranked = hosts.into_iter().filter(|host| rank(host) < own_rank).count();
+    match higher_ranked < readers_per_hall {
         true => StoreDuty::Watches,
         false => StoreDuty::IsTold,
     }
