--- a/quillcove_core/src/relay/telling.rs
+++ b/quillcove_core/src/relay/telling.rs
@@ -1,36 +1,38 @@
-//! How often a relay tells the others that it is there.
+//! Intervals at which a relay sends heartbeats to other relays.
 //!
-//! A relay hears the others of its hall often, as one of them reads the store for it, and those of other halls seldom:
-//! of them it only has to know that they are there. Both go by a rate of messages that does not grow with the fleet; with
-//! more relays each is told less often. A message says when the next one follows, so that a receiver knows for how long
-//! it holds, whatever it knows of the fleet.
+//! Relays of the same hall get heartbeats often, as some of them read the store on behalf of the
+//! others. Relays of other halls get them seldom: they only need to know that the sender is alive.
+//! Each group has a fixed rate of messages that does not grow with the fleet, so with more relays
+//! the interval for each becomes longer. A heartbeat states when the next one follows, so that a
+//! receiver knows how long it is valid without knowing the size of the fleet.
 
 use std::time::Duration;
 
-/// Shortest time between two words to a relay.
+/// Shortest interval between two heartbeats to a relay.
 pub const SHORTEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Words a second to the relays of the own hall, and to all others.
-const NEAR_RATE: f64 = 150.0;
-const FAR_RATE: f64 = 40.0;
+/// Heartbeats per second to all relays of the own hall, and to all relays of other halls.
+const NEAR_HEARTBEATS_PER_SECOND: f64 = 150.0;
+const FAR_HEARTBEATS_PER_SECOND: f64 = 40.0;
 
-/// Words of a relay that have to be missing until it counts as gone, with a margin for their way.
-const MISSED_WORDS: f64 = 3.2;
+/// Intervals without a heartbeat after which a relay counts as gone, with a margin for network
+/// delay.
+const MISSED_HEARTBEATS: f64 = 3.2;
 
-/// Words that have to be missing until a relay is not taken to be heard at present.
-const RECENT_WORDS: u32 = 2;
+/// Intervals without a heartbeat after which a relay no longer counts as recently heard from.
+const RECENT_HEARTBEATS: u32 = 2;
 
-/// Where another relay is.
+/// Whether another relay is in the same hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayDistance {
     /// In the same hall.
     Near,
-    /// In another one.
+    /// In another hall.
     Far,
 }
 
 impl RelayDistance {
-    /// Time between two words to each of so many relays.
+    /// Returns the interval between two heartbeats to each of `relays` relays.
     ///
     /// ```
     /// use std::time::Duration;
@@ -41,13 +43,14 @@
     /// ```
     pub fn interval(self, relays: usize) -> Duration {
         let rate = match self {
-            Self::Near => NEAR_RATE,
-            Self::Far => FAR_RATE,
+            Self::Near => NEAR_HEARTBEATS_PER_SECOND,
+            Self::Far => FAR_HEARTBEATS_PER_SECOND,
         };
         SHORTEST_INTERVAL.max(Duration::from_secs_f64(relays as f64 / rate))
     }
 
-    /// How many of so many relays are told at once, with a call each [`SHORTEST_INTERVAL`].
+    /// Returns how many of `relays` relays get a heartbeat in one batch, with a batch each
+    /// [`SHORTEST_INTERVAL`].
     ///
     /// ```
     /// use quillcove_core::relay::telling::RelayDistance;
@@ -61,7 +64,7 @@
     }
 }
 
-/// Time for which a relay counts as there after a word that named this interval.
+/// Returns the time for which a relay counts as alive after a heartbeat that stated `interval`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -70,10 +73,11 @@
 /// assert_eq!(telling::lifetime(Duration::from_millis(500)), Duration::from_millis(1600));
 /// ```
 pub fn lifetime(interval: Duration) -> Duration {
-    interval.max(SHORTEST_INTERVAL).mul_f64(MISSED_WORDS)
+    interval.max(SHORTEST_INTERVAL).mul_f64(MISSED_HEARTBEATS)
 }
 
-/// Time for which a relay counts as heard at present.
+/// Returns the time for which a relay counts as recently heard from after a heartbeat that stated
+/// `interval`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -82,10 +86,10 @@
 /// assert_eq!(telling::recent_time(Duration::from_millis(500)), Duration::from_secs(1));
 /// ```
 pub fn recent_time(interval: Duration) -> Duration {
-    interval.max(SHORTEST_INTERVAL) * RECENT_WORDS
+    interval.max(SHORTEST_INTERVAL) * RECENT_HEARTBEATS
 }
 
-/// Goes round a list, some at a time.
+/// Iterates over a list in batches, starting over at its end.
 ///
 /// ```
 /// use quillcove_core::relay::telling::ListRound;
@@ -100,7 +104,7 @@
 }
 
 impl ListRound {
-    /// The next ones of a list, at most all of it.
+    /// Returns the next `count` elements, or all elements if the list has fewer.
     ///
     /// See [`ListRound`] for an example.
     pub fn take<T: Copy>(&mut self, list: &[T], count: usize) -> Vec<T> {
