--- a/quillcove_core/src/relay/mod.rs
+++ b/quillcove_core/src/relay/mod.rs
@@ -1,29 +1,33 @@
-//! Decisions for requests that pass through unchanged to upstreams that a platform lists.
+//! Relays: forwarding of requests, unchanged, to the upstreams that the platform lists. This module
+//! holds the decisions; the input and output around them are in the program's crate.
 //!
-//! - [`sheet`]: routes, services and limits in force.
-//! - [`replica`]: the upstreams that are known, what they hold and how they fare.
-//! - [`machine`]: admission, choice of the upstream, and repeats, for one relay.
-//! - [`demand`]: which adapter is asked of which engine, and when it will be there.
-//! - [`follower`]: when a part of the platform's store is read again.
-//! - [`keeper`]: base models for engines that have none, within the weight store's rate.
-//! - [`limiter`]: how many adapters may be on their way at once.
+//! - [`machine`]: admission, choice of the upstream and retries, for one relay.
+//! - [`replica`]: the known upstreams, what they hold and their load.
+//! - [`routing`]: choice of the replica for one attempt.
+//! - [`sheet`]: the published configuration: routes, services and limits.
+//! - [`sheet_change`]: the difference between two configurations.
+//! - [`demand`]: which adapter is requested of which engine, and the estimated time of its load.
+//! - [`keeper`]: loads of base models by engines that have none, within the weight store's rate.
+//! - [`limiter`]: the number of adapters that may be loading at once.
 //! - [`loader`]: orders to the one engine beside a loader.
-//! - [`order`]: what an order says, and how it ended.
-//! - [`report_stream`]: what a loader sends of its engine's report, and what a relay makes of it.
-//! - [`roll`]: the relays that a loader hears, and which of them it names.
-//! - [`policy`]: the rules that can be switched back for measurement.
-//! - [`promise`]: how true the times were that refused callers were told.
-//! - [`prompt`]: what a request asks an engine to read and to write.
-//! - [`reading`]: how long a request waits at an engine until its first event.
-//! - [`published`]: what one relay passes on to another that can not read the store.
-//! - [`position`]: moments of the platform's store, which may come back older.
-//! - [`knowledge`]: what a relay knows of the store, since when, and what it tells of it.
-//! - [`store_duty`]: who reads the platform's store, and how old a relay's knowledge may get.
-//! - [`telling`]: how often a relay tells the others that it is there.
+//! - [`order`]: orders to an engine and their outcomes.
+//! - [`promise`]: accuracy of the load times that rejected callers were told.
+//! - [`prompt`]: sizes of prompts and responses.
+//! - [`reading`]: estimate of the time that a request waits at an engine until its first event.
+//! - [`policy`]: decision rules that can be switched back to simpler ones for measurements.
+//! - [`position`]: eras and revisions of the platform's store.
+//! - [`follower`]: scheduling of the calls that read one part of the store.
+//! - [`knowledge`]: what a relay knows of the store, its age, and the summary sent to others.
+//! - [`store_duty`]: choice of the relays that read the store directly; age limits for the others.
+//! - [`published`]: the published state, as sent to a relay that can't read the store.
+//! - [`change_word`]: changes of the store, as a direct reader sends them to followers.
+//! - [`beacon`]: messages between relays and loaders.
+//! - [`telling`]: intervals of heartbeats between relays.
+//! - [`roll`]: the membership list of a loader, and the relays that its reports name.
+//! - [`report_stream`]: sending and acceptance of engine reports.
+//! - [`cell`]: the subset of engines that a relay uses in a large fleet.
+//! - [`sharing`]: the relays that share the rate limit announced by a replica.
 //! - [`tries`]: whether a request is its caller's first try.
-//! - [`change_word`] and [`sheet_change`]: changes of the store, as a relay that reads it tells them to others.
-//! - [`cell`]: which engines a relay works with in a large fleet.
-//! - [`beacon`]: what relays and loaders tell each other.
 
 pub mod beacon;
 pub mod cell;
