--- a/quillcove_core/src/relay/machine/access.rs
+++ b/quillcove_core/src/relay/machine/access.rs
@@ -1,4 +1,4 @@
-//! Which requests are let in: their keys, the age of what is known of keys, and limits of workspaces.
+//! Admission of requests: key validation, the age of the access table, and the limits of workspaces.
 
 use super::{RelayMachine, RelayQuery};
 use crate::access::grant::{AccessGrant, AccessRefusal};
@@ -11,12 +11,14 @@
 use crate::route::RouteRecord;
 
 impl RelayMachine {
-    /// Lets a request of a route in by its key, and charges it to its workspace; `None` where no key is
-    /// needed.
+    /// Authorizes a request by its API key and charges it to the limit of the key's workspace. Returns `None` where no
+    /// key is needed: the route is public, or the configuration has no access table.
     ///
     /// # Errors
     ///
-    /// When the key is not valid, when that can't be told, or when its workspace has used what it may.
+    /// [`AccessRefusal::KnowledgeOld`] when the access table is too old to validate keys, [`AccessRefusal::KeyUnknown`]
+    /// when the key is missing or not valid, and [`AccessRefusal::LimitReached`] when the workspace has reached its
+    /// limit.
     ///
     /// ```
     /// use std::time::Duration;
@@ -56,7 +58,7 @@
         let Some(access) = access.filter(|_| !route.is_public) else {
             return Ok(None);
         };
-        // An old table tells neither which keys are valid nor which are not: one may have been added.
+        // An outdated table can neither accept nor reject a key: keys may have been revoked or added since.
         if !self.rules.right.holds(self.knowledge.proved_at(), now) {
             return Err(AccessRefusal::KnowledgeOld { come_back: RENEWAL_TIME });
         }
@@ -67,7 +69,7 @@
         Ok(Some(AccessGrant { workspace: workspace.clone(), key, charge }))
     }
 
-    /// Whether the key of a request has been taken away since it came.
+    /// Returns whether the key of a request has been revoked since the request was authorized.
     pub(super) fn is_revoked(&self, query: &RelayQuery) -> bool {
         let access = self.sheet.as_ref().and_then(|sheet| sheet.access());
         match (&query.grant, access) {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Gives back what a request was charged with that did not run.
+    /// Refunds the charge of a request that was not run.
     ///
     /// ```
     /// use quillcove_core::access::limit::UseCharge;
@@ -89,7 +91,7 @@
         self.ledger.give_back(charge);
     }
 
-    /// What workspaces have used, as this relay believes it.
+    /// Returns the usage accounts of workspaces as this relay knows them.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -100,7 +102,7 @@
         &self.ledger
     }
 
-    /// The same, to tell others of it.
+    /// Returns the usage accounts for changes, and for the reports to other relays.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -111,7 +113,7 @@
         &mut self.ledger
     }
 
-    /// Takes what another relay has spent of limits that are in force here.
+    /// Applies another relay's usage report, for the limits in force here.
     ///
     /// ```
     /// use std::time::Duration;
@@ -119,18 +121,19 @@
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let (uptime, spent, levels) = (Duration::ZERO, Vec::new(), Vec::new());
-    /// let told = SpendBeacon { host: "front-2".into(), incarnation: 1, uptime, spent, levels };
-    /// RelayMachine::new(RelayRules::default(), 1).take_spent(&told, Duration::ZERO);
+    /// let report = SpendBeacon { host: "front-2".into(), incarnation: 1, uptime, spent, levels };
+    /// RelayMachine::new(RelayRules::default(), 1).take_spent(&report, Duration::ZERO);
     /// ```
-    pub fn take_spent(&mut self, told: &SpendBeacon, now: MonoTime) {
+    pub fn take_spent(&mut self, report: &SpendBeacon, now: MonoTime) {
         let Some(access) = self.sheet.as_ref().and_then(|sheet| sheet.access()) else {
             return;
         };
         let limit_of = |name: &str| access.workspace(name).and_then(|workspace| workspace.limit);
-        self.ledger.take_told(told, limit_of, now);
+        self.ledger.take_told(report, limit_of, now);
     }
 
-    /// What to do about the age of what is known of keys; `asked_at` is when others were asked last.
+    /// Returns whether the freshness proof of the access table needs renewal. `asked_at` is when other relays were last
+    /// asked for a newer proof.
     ///
     /// ```
     /// use std::time::Duration;
