--- a/quillcove_core/src/relay/machine/crashes.rs
+++ b/quillcove_core/src/relay/machine/crashes.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused because replicas end under them.
+//! Rejection of fatal requests, under which replicas exit, and of adapter loads under which engines exit.
 
 use super::{AttemptOrder, RelayMachine, RelayQuery};
 use crate::crash::digest::load_identity;
@@ -6,12 +6,12 @@
 use crate::ids::MonoTime;
 use crate::relay::beacon::{AdapterKey, EngineReport};
 
-/// What is to be done about an answer that broke off.
+/// The follow-up to a response that was cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakStep {
-    /// Find out whether the replica has ended.
+    /// Check whether the replica has exited.
     Ask,
-    /// Nothing: its end is known, somebody is asking, or it was about to leave.
+    /// Nothing: the exit is already known, a check is running, or the replica was draining.
     Rest,
 }
 
@@ -20,7 +20,7 @@
 }
 
 impl RelayMachine {
-    /// What is known of requests under which replicas end.
+    /// Returns the crash records.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -31,7 +31,7 @@
         &self.crashes
     }
 
-    /// The same, to tell others of it and to take what they tell.
+    /// Returns the crash records for changes, and for the exchange with other relays.
     ///
     /// ```
     /// use std::time::Duration;
@@ -44,7 +44,7 @@
         &mut self.crashes
     }
 
-    /// Tells whether replicas end under a request, so that it is refused.
+    /// Returns whether a request is rejected as fatal, and records the rejection.
     pub(super) fn ends_upstreams(&mut self, query: &RelayQuery, now: MonoTime) -> bool {
         let Some(identity) = query.identity else {
             return false;
@@ -56,7 +56,7 @@
         is_refused
     }
 
-    /// Tells whether engines end when they load an adapter, in the version that would be ordered.
+    /// Returns whether engines exit when they load an adapter, in the version that would be loaded.
     pub(super) fn load_ends_engines(&self, key: &AdapterKey, now: MonoTime) -> bool {
         if !self.crashes.book().has_loads() {
             return false;
@@ -65,19 +65,20 @@
         self.crashes.cause(load_identity(key, version), now).is_some()
     }
 
-    /// Notes which adapters an engine holds: their loads ended well.
+    /// Records that the loads of the adapters held by an engine succeeded.
     pub(super) fn note_held_loads(&mut self, report: &EngineReport, now: MonoTime) {
         if !self.crashes.book().has_loads() {
             return;
         }
         for held in &report.adapters {
             self.crashes.note_seen_good(load_identity(&held.key, held.version), now);
-            // A load of the newest version names none.
+            // Loads of the newest version carry no version number and are recorded as version 0.
             self.crashes.note_seen_good(load_identity(&held.key, 0), now);
         }
     }
 
-    /// Notes that a replica's answer broke off. One that was about to leave ended for that.
+    /// Records that a replica's response was cut off. A replica that is gone or draining is not checked: its exit is
+    /// expected.
     ///
     /// ```
     /// use std::time::Duration;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Tells whether bytes came from a replica after this time.
+    /// Returns whether a replica has sent any bytes after `at`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -131,7 +132,7 @@
         self.table.get(replica).is_some_and(|view| view.is_heard_since(at))
     }
 
-    /// Notes that a replica has ended; gives the number of answers that broke off with it.
+    /// Records that a replica has exited. Returns the number of responses that were cut off by the exit.
     ///
     /// ```
     /// use std::time::Duration;
@@ -146,7 +147,7 @@
         self.crashes.confirm_end(&run_of(order), now)
     }
 
-    /// Notes that a replica lives, or that nobody can tell.
+    /// Records that a replica has not exited, or that this can't be determined.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{AttemptOrder, RelayMachine, RelayRules};
