--- a/quillcove_core/src/relay/machine/engines.rs
+++ b/quillcove_core/src/relay/machine/engines.rs
@@ -1,4 +1,4 @@
-//! What loaders tell of their engines, and what they are told.
+//! Exchange with loaders: their reports on engines, and the load requests and usage reports that they receive.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::relay::promise::EndedPromise;
 
 impl RelayMachine {
-    /// Takes a loader's report; tells whether what the engine holds changed.
+    /// Applies a loader's report. Returns whether the adapters held by the engine changed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -39,7 +39,7 @@
         let uses = beacon.uses.clone();
         let has_room = self.table.note_spare(beacon.engine, beacon.spare_places, uses);
         let engine = self.table.at(beacon.engine);
-        // What an engine holds that takes no work is wanted elsewhere.
+        // Adapters held by an engine that accepts no requests remain wanted on other engines.
         if let Some(view) = engine.filter(|view| view.takes_work(now)) {
             if beacon.report.models.is_empty() {
                 self.demand.forget_engine(&view.record.id);
@@ -54,8 +54,8 @@
         is_changed
     }
 
-    /// Takes gauges that belong to the last report of a loader; `false` when there is none, so that
-    /// nothing was taken.
+    /// Applies gauges that update the last report of a loader. Returns `false` when there is no such report, so that
+    /// nothing was applied.
     ///
     /// ```
     /// use std::time::Duration;
@@ -81,7 +81,7 @@
         true
     }
 
-    /// Use of an engine's adapters since the last call.
+    /// Takes the use of an engine's adapters since the last call.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -92,7 +92,7 @@
         self.table.take_uses(replica)
     }
 
-    /// Engines whose loaders are to hear at once that an adapter went out of use.
+    /// Takes the engines whose loaders have to be notified at once that an adapter is no longer in use.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -103,7 +103,7 @@
         self.table.take_freed()
     }
 
-    /// Asks for adapters that are to be sent to loaders now.
+    /// Takes the load requests for adapters to send to loaders now.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -114,8 +114,7 @@
         self.demand.take_outbox()
     }
 
-    /// Tells whether there is something for [`RelayMachine::take_asks`] or
-    /// [`RelayMachine::take_freed`].
+    /// Returns whether [`RelayMachine::take_asks`] or [`RelayMachine::take_freed`] has anything to send.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -126,7 +125,8 @@
         self.demand.has_asks() || self.table.has_freed()
     }
 
-    /// The times told to refused callers that ended since the last call.
+    /// Takes the load estimates given to rejected callers that were settled since the last call: the adapter was
+    /// loaded, or did not load in time.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
