--- a/quillcove_core/src/relay/machine/told.rs
+++ b/quillcove_core/src/relay/machine/told.rs
@@ -1,4 +1,4 @@
-//! Changes of what the platform publishes: one by one, as the store names them or as another relay tells them.
+//! Applies single changes of the store, as this relay reads them or as another relay sends them.
 
 use super::{BeliefChange, RelayMachine};
 use crate::ids::MonoTime;
@@ -8,19 +8,20 @@
 use crate::relay::replica::ReplicaRecord;
 use crate::relay::sheet_change::SheetChange;
 
-/// What a change of the store has led to.
+/// The result of a store change.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EventEffect {
-    /// What this relay believes now.
+    /// Changes of this relay's state.
     pub changes: Vec<BeliefChange>,
-    /// Whether it matters to relays.
+    /// Whether the change is relevant to relays.
     pub matters: bool,
-    /// How to tell it to others; `None` when it doesn't matter or can only be read.
+    /// The change in the form to send to other relays; `None` when it is not relevant or has to be read from the store.
     pub told: Option<ToldEvent>,
 }
 
 impl RelayMachine {
-    /// Takes one change of the store. `is_whole` says that it was read among all that is there, so that it may be old.
+    /// Applies one change of the store. `is_whole` says that it comes from a read of the whole store, so that it may be
+    /// an old change.
     ///
     /// ```
     /// use std::time::Duration;
@@ -34,34 +35,34 @@
     /// assert!(!machine.take_event(event, false, Duration::ZERO).matters);
     /// ```
     pub fn take_event(&mut self, event: StoreEvent, is_whole: bool, now: MonoTime) -> EventEffect {
-        let told = told_as(&event);
-        // What the operator writes again after the store came back older may be known here already, and not to relays
-        // that have read the copy.
+        let told = event_to_send(&event);
+        // After the store was restored from an older copy, a change that the operator writes again may be known here
+        // already, but not to relays that have read the older copy.
         let mut matters = !is_whole && event.part() == StorePart::Operator;
         let mut sheet_change = None;
         let changes: Vec<BeliefChange> = match event {
             StoreEvent::Sheet(sheet) => {
                 let version = sheet.version;
                 let before = self.sheet.clone();
-                let is_taken = self.take_sheet(*sheet);
+                let is_applied = self.take_sheet(*sheet);
                 let after = self.sheet.as_ref();
                 sheet_change = before
                     .zip(after)
-                    .filter(|_| is_taken)
+                    .filter(|_| is_applied)
                     .and_then(|(old, new)| SheetChange::between(&old, new));
-                is_taken.then_some(BeliefChange::Sheet(version)).into_iter().collect()
+                is_applied.then_some(BeliefChange::Sheet(version)).into_iter().collect()
             },
             StoreEvent::Version(key, version) => {
-                let is_news = self.newest(&key) != Some(version);
+                let has_changed = self.newest(&key) != Some(version);
                 self.take_version(key.clone(), version, !is_whole, now);
                 let change = BeliefChange::Version(HeldAdapter { key, version });
-                is_news.then_some(change).into_iter().collect()
+                has_changed.then_some(change).into_iter().collect()
             },
             StoreEvent::HallEmptied(hall) => self.set_emptied(&hall, true).into_iter().collect(),
             StoreEvent::HallInUse(hall) => self.set_emptied(&hall, false).into_iter().collect(),
             StoreEvent::Replica(record) => self.list(record, now),
             StoreEvent::ReplicaGone(id) => {
-                // It may be gone here already for another reason, and still be listed elsewhere.
+                // The replica may have been removed here for another reason and still be listed by other relays.
                 matters = true;
                 self.unlist(&id, now).into_iter().collect()
             },
@@ -69,21 +70,22 @@
         matters |= !changes.is_empty();
         let told = match sheet_change {
             Some(change) => Some(ToldEvent::Sheet(change)),
-            None => self.as_lapsed(&changes, now).or(told),
+            None => self.unconfirmed_entry(&changes, now).or(told),
         };
         EventEffect { told: told.filter(|_| matters), changes, matters }
     }
 
-    /// An entry whose replica is only in doubt is told as such: others may not know that the store was away.
-    fn as_lapsed(&self, changes: &[BeliefChange], now: MonoTime) -> Option<ToldEvent> {
+    /// Returns the entry of an unconfirmed replica in the form to send. Other relays may not know that the store was
+    /// unavailable, so the entry is sent as unconfirmed rather than removed.
+    fn unconfirmed_entry(&self, changes: &[BeliefChange], now: MonoTime) -> Option<ToldEvent> {
         let [BeliefChange::Doubted(id)] = changes else {
             return None;
         };
         self.doubt.entry(id, now).map(ToldEvent::Lapsed)
     }
 
-    /// Takes what another relay of the hall tells of changes that it has read; `None` when this relay lacks what was
-    /// before them, knows them, or can't make them out, so that it has to read for itself.
+    /// Applies store changes that another relay of the hall has read. Returns `None` when this relay lacks the changes
+    /// before them, knows them already, or can't decode them, so that it has to read the store itself.
     ///
     /// ```
     /// use std::time::Duration;
@@ -92,27 +94,36 @@
     /// use quillcove_core::relay::published::StorePart;
     ///
     /// let (part, age) = (StorePart::Replicas, Duration::ZERO);
-    /// let word = ChangeBeacon { part, era: 0, after: 3, revision: 5, age, changes: Vec::new() };
+    /// let update = ChangeBeacon { part, era: 0, after: 3, revision: 5, age, changes: Vec::new() };
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert!(machine.take_told(&word, Duration::ZERO).is_none());
+    /// assert!(machine.take_told(&update, Duration::ZERO).is_none());
     /// ```
-    pub fn take_told(&mut self, word: &ChangeBeacon, now: MonoTime) -> Option<Vec<BeliefChange>> {
-        let known = self.read().of(word.part);
-        let follows = word.begin() <= known && known < word.end();
-        if !follows || !self.knowledge.has_read(word.part) {
+    pub fn take_told(&mut self, update: &ChangeBeacon, now: MonoTime) -> Option<Vec<BeliefChange>> {
+        let known = self.read().of(update.part);
+        let follows = update.begin() <= known && known < update.end();
+        if !follows || !self.knowledge.has_read(update.part) {
             return None;
         }
         let mut changes = Vec::new();
-        for change in word.changes.iter().filter(|change| change.revision > known.revision) {
-            changes.extend(self.take_told_event(change, now)?);
+        for change in update.changes.iter().filter(|change| change.revision > known.revision) {
+            changes.extend(self.apply_received_event(change, now)?);
         }
-        let changed = word.changes.iter().map(|change| change.revision).max();
-        let changed = changed.map(|revision| word.position(revision));
-        self.knowledge.note_told(word.part, word.end(), changed, now.saturating_sub(word.age));
+        let changed = update.changes.iter().map(|change| change.revision).max();
+        let changed = changed.map(|revision| update.position(revision));
+        self.knowledge.note_told(
+            update.part,
+            update.end(),
+            changed,
+            now.saturating_sub(update.age),
+        );
         Some(changes)
     }
 
-    fn take_told_event(&mut self, change: &ToldChange, now: MonoTime) -> Option<Vec<BeliefChange>> {
+    fn apply_received_event(
+        &mut self,
+        change: &ToldChange,
+        now: MonoTime,
+    ) -> Option<Vec<BeliefChange>> {
         match &change.event {
             ToldEvent::Published(event) => Some(self.take_event(event.clone(), false, now).changes),
             ToldEvent::Sheet(change) => {
@@ -129,9 +140,9 @@
     }
 }
 
-/// A change as it is told to others; `None` for a whole sheet, which is too large. What an engine holds is told by its
-/// loader.
-fn told_as(event: &StoreEvent) -> Option<ToldEvent> {
+/// Returns a store change in the form to send to other relays; `None` for a whole configuration, which is too large.
+/// The adapters of an engine are left out, since its loader reports them.
+fn event_to_send(event: &StoreEvent) -> Option<ToldEvent> {
     match event {
         StoreEvent::Sheet(_) => None,
         StoreEvent::Replica(record) => {
