--- a/quillcove_core/src/relay/keeper.rs
+++ b/quillcove_core/src/relay/keeper.rs
@@ -1,11 +1,11 @@
-//! Base models for engines that have none, within the weight store's rate.
+//! Paces the loads of base models onto engines that have none, within the load rate of the weight store.
 //!
-//! The keeper is the relay with the lowest name among those heard lately. What the weight store
-//! still permits is counted from the loads that the loaders report, so that another relay can take
-//! over at any moment with nothing handed on.
+//! The load rate coordinator is the relay with the lowest name among those whose heartbeats arrived recently. The loads
+//! still permitted by the weight store are counted from the loads that loaders report, so that another relay can take
+//! over at any moment without a handover.
 //!
-//! A model that an engine's host has a copy of takes nothing from the weight store. Every relay asks
-//! for it at once, without a permit: the loader gives one order, whoever asks.
+//! A model of which an engine's host has a copy is loaded without the weight store. Every relay requests its load at
+//! once, without a permit: the loader gives one order however many relays request it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
 use super::sheet::{EngineRecord, ModelRecord, ServiceRecord};
 use crate::ids::{ModelName, MonoTime};
 
-/// Window over which the weight store's permits are counted.
+/// Window over which loads from the weight store are counted.
 const PERMIT_WINDOW: Duration = Duration::from_secs(5);
 
-/// Time within which a base model is not asked for again at the same engine, unless its loader
-/// reports that the load has begun before.
-const ASK_INTERVAL: Duration = Duration::from_millis(1500);
+/// Interval after which the load of a base model is requested again at the same engine, unless its loader has reported
+/// that the load began.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Paces the loads of base models.
+/// Plans and paces the load requests for base models.
 ///
 /// ```
 /// use quillcove_core::relay::keeper::ModelKeeper;
@@ -33,17 +33,17 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ModelKeeper {
-    /// Engines that were asked to load from the weight store; these asks count in the window.
-    asked: BTreeMap<ReplicaId, MonoTime>,
-    /// Engines that were asked to load from their host's copy.
-    asked_locally: BTreeMap<ReplicaId, MonoTime>,
-    /// Loads that each loader began lately, by the time at which they began.
-    begun: BTreeMap<SocketAddr, Vec<MonoTime>>,
+    /// Engines with a recent request to load from the weight store; these requests count in the window.
+    requested: BTreeMap<ReplicaId, MonoTime>,
+    /// Engines with a recent request to load from their host's copy.
+    requested_locally: BTreeMap<ReplicaId, MonoTime>,
+    /// Start times of the recent loads of each loader.
+    load_starts: BTreeMap<SocketAddr, Vec<MonoTime>>,
     next_permit: MonoTime,
 }
 
 impl ModelKeeper {
-    /// Takes from a loader's report which loads it began.
+    /// Applies the start times of loads from a loader's report.
     ///
     /// ```
     /// use std::time::Duration;
@@ -68,11 +68,11 @@
     /// assert_eq!(keeper.window_count(Duration::from_secs(2)), 1);
     /// ```
     pub fn take_report(&mut self, beacon: &EngineBeacon, now: MonoTime) {
-        let began = beacon.model_loads.iter().map(|age| now.saturating_sub(*age)).collect();
-        self.begun.insert(beacon.engine, began);
+        let starts = beacon.model_loads.iter().map(|age| now.saturating_sub(*age)).collect();
+        self.load_starts.insert(beacon.engine, starts);
     }
 
-    /// Loads that count in the window which ends now, asked ones included.
+    /// Returns the number of loads in the window that ends now, requested loads included.
     ///
     /// ```
     /// use quillcove_core::relay::keeper::ModelKeeper;
@@ -80,13 +80,13 @@
     /// assert_eq!(ModelKeeper::default().window_count(std::time::Duration::ZERO), 0);
     /// ```
     pub fn window_count(&self, now: MonoTime) -> usize {
-        let is_recent = |began: &&MonoTime| now.saturating_sub(**began) < PERMIT_WINDOW;
-        let begun = self.begun.values().flatten().filter(is_recent).count();
-        begun + self.asked.len()
+        let is_recent = |start: &&MonoTime| now.saturating_sub(**start) < PERMIT_WINDOW;
+        let begun = self.load_starts.values().flatten().filter(is_recent).count();
+        begun + self.requested.len()
     }
 
-    /// The asks to send now for the engines of this relay's cells. Only the keeper of a service's cell may ask for loads
-    /// from the weight store, for an even part of what the store permits.
+    /// Returns the load requests to send now to the engines of this relay's cells. Only the coordinator of a service's
+    /// cell may request loads from the weight store, up to an equal share of the store's rate.
     ///
     /// ```
     /// use std::time::Duration;
@@ -99,64 +99,67 @@
     pub fn plan(
         &mut self,
         machine: &RelayMachine,
-        is_keeper: impl Fn(&str) -> bool,
+        is_coordinator: impl Fn(&str) -> bool,
         now: MonoTime,
     ) -> Vec<AddressedAsk> {
-        self.asked.retain(|_, asked| now.saturating_sub(*asked) < ASK_INTERVAL);
-        self.asked_locally.retain(|_, asked| now.saturating_sub(*asked) < ASK_INTERVAL);
+        self.requested.retain(|_, requested| now.saturating_sub(*requested) < REQUEST_INTERVAL);
+        self.requested_locally
+            .retain(|_, requested| now.saturating_sub(*requested) < REQUEST_INTERVAL);
         let Some(sheet) = machine.sheet() else {
             return Vec::new();
         };
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         for service in sheet.services() {
             if let Some(engine) = &service.engine {
-                let is_keeper = is_keeper(&service.name);
-                asks.extend(self.ask_models(machine, service, engine, is_keeper, now));
+                let is_coordinator = is_coordinator(&service.name);
+                requests.extend(self.request_models(machine, service, engine, is_coordinator, now));
             }
         }
-        asks
+        requests
     }
 
-    /// Engines that hold no base model get the one that the fewest others hold.
-    fn ask_models(
+    /// Requests, for each engine without a base model, the model that the fewest other engines hold.
+    fn request_models(
         &mut self,
         machine: &RelayMachine,
         service: &ServiceRecord,
         engine: &EngineRecord,
-        is_keeper: bool,
+        is_coordinator: bool,
         now: MonoTime,
     ) -> Vec<AddressedAsk> {
         let mut holders = holder_counts(machine, service, engine, now);
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         let cells = machine.cell_count(&service.name);
         for view in machine.near_engines(&service.name) {
             let Some(report) = view.report(now).filter(|report| lacks_model(report)) else {
                 continue;
             };
             let id = &view.record.id;
-            if self.asked.contains_key(id) || self.asked_locally.contains_key(id) {
+            if self.requested.contains_key(id) || self.requested_locally.contains_key(id) {
                 continue;
             }
-            let local = scarcest(engine, &holders, |name| report.local_models.contains(name));
+            let local =
+                least_held_model(engine, &holders, |name| report.local_models.contains(name));
             let model = if let Some(model) = local {
-                self.asked_locally.insert(id.clone(), now);
+                self.requested_locally.insert(id.clone(), now);
                 model
-            } else if let Some(model) = scarcest(engine, &holders, |_| is_keeper) {
+            } else if let Some(model) = least_held_model(engine, &holders, |_| is_coordinator) {
                 if !self.take_permit(engine, cells, now) {
                     continue;
                 }
-                self.asked.insert(id.clone(), now);
+                self.requested.insert(id.clone(), now);
                 model
             } else {
                 continue;
             };
             *holders.entry(model.name.clone()).or_default() += 1;
-            asks.push(model_ask(view, engine, model));
+            requests.push(model_request(view, engine, model));
         }
-        asks
+        requests
     }
 
-    /// Each of several cells has its part of what the store permits, rounded down, and one load at least.
+    /// Takes a permit for one load from the weight store, if the rate allows one. Each of several cells has an equal
+    /// share of the permitted loads in the window, rounded down, but at least one load.
     fn take_permit(&mut self, engine: &EngineRecord, cells: usize, now: MonoTime) -> bool {
         let permitted = engine.loads_per_second * PERMIT_WINDOW.as_secs_f64();
         let permitted = match cells {
@@ -171,7 +174,7 @@
     }
 }
 
-/// How many engines hold each base model, or are loading it.
+/// Returns the number of engines that hold or are loading each base model.
 fn holder_counts(
     machine: &RelayMachine,
     service: &ServiceRecord,
@@ -185,9 +188,9 @@
     engine.models.iter().map(|model| (model.name.clone(), count(&model.name))).collect()
 }
 
-/// The model that the fewest engines hold, among those that pass; of equals the one that the sheet
-/// names first, as it is the busiest.
-fn scarcest<'a>(
+/// Returns the model that the fewest engines hold, among those that pass. Of equal ones it is the first in the
+/// configuration, which is the busiest.
+fn least_held_model<'a>(
     engine: &'a EngineRecord,
     holders: &BTreeMap<ModelName, usize>,
     passes: impl Fn(&ModelName) -> bool,
@@ -196,7 +199,7 @@
     passing.min_by_key(|model| holders.get(&model.name).copied().unwrap_or(0))
 }
 
-fn model_ask(view: &ReplicaView, engine: &EngineRecord, model: &ModelRecord) -> AddressedAsk {
+fn model_request(view: &ReplicaView, engine: &EngineRecord, model: &ModelRecord) -> AddressedAsk {
     let ask = LoadAsk {
         replica: view.record.id.clone(),
         model: model.name.clone(),
