--- a/quillcove_core/src/relay/limiter.rs
+++ b/quillcove_core/src/relay/limiter.rs
@@ -1,50 +1,50 @@
-//! How many adapters may be on their way from the weight store at once.
+//! Limits the number of concurrent adapter loads from the weight store.
 //!
-//! The store serves a few loads at full speed and shares its bandwidth beyond that. How many is
-//! not published, so it is learnt from the time that loads take, in the manner of TCP Vegas
-//! (Brakmo and Peterson, 1995): as long as they take their least time there is room for more, and
-//! what they take beyond it tells how many too many there were.
+//! The store serves a few loads at full speed and divides its bandwidth among further ones. The number that it serves
+//! at full speed is not published, so it is learnt from load times, in the manner of TCP Vegas (Brakmo and Peterson,
+//! 1995): while loads take their minimum time there is room for more, and the time beyond the minimum shows by how many
+//! loads the limit is too high.
 
 use std::time::Duration;
 
-/// Loads at once before any has been seen.
-const FIRST_LIMIT: f64 = 4.0;
+/// Concurrent loads until the first load has been measured.
+const INITIAL_LIMIT: f64 = 4.0;
 
-/// Least number of loads at once, so that the limit can recover.
-const LEAST_LIMIT: f64 = 2.0;
+/// Minimum number of concurrent loads, so that the limit can recover.
+const MIN_LIMIT: f64 = 2.0;
 
-/// Most loads at once; no store of the users' serves as many at full speed.
-const MOST_LIMIT: f64 = 64.0;
+/// Maximum number of concurrent loads; no weight store in use serves as many at full speed.
+const MAX_LIMIT: f64 = 64.0;
 
-/// Times the least load time up to which loads count as served at full speed.
-const FULL_SPEED: f64 = 1.4;
+/// Ratio of a load time to the minimum load time up to which a load counts as served at full speed.
+const FULL_SPEED_RATIO: f64 = 1.4;
 
-/// Growth of the limit with each load at full speed, before the first slow one.
-const FIRST_GROWTH: f64 = 1.0;
+/// Growth of the limit per load at full speed, before the first slow load.
+const INITIAL_GROWTH: f64 = 1.0;
 
-/// Growth of the limit with each load at full speed, after a slow one has been seen.
+/// Growth of the limit per load at full speed, after the first slow load.
 const GROWTH: f64 = 0.3;
 
-/// Weight of a slow load in the limit.
+/// Weight of a slow load in the moving average of the limit.
 const SLOW_WEIGHT: f64 = 0.1;
 
-/// Loads at once beyond those that the store seems to serve at full speed, so that it is never
-/// idle while adapters are wanted.
+/// Concurrent loads beyond those that the store seems to serve at full speed, so that it is never idle while adapters
+/// are wanted.
 const HEADROOM: f64 = 1.0;
 
-/// The same as a share of what the store serves at full speed: reports lag, so that with no more on
-/// their way than it serves it stood idle for a fifth of a busy day.
+/// Headroom as a share of the loads that the store serves at full speed, in addition to [`HEADROOM`]. Reports lag: with
+/// no more concurrent loads than the store serves, it was idle for a fifth of a busy day.
 const HEADROOM_SHARE: f64 = 0.25;
 
-/// Weight of a slow load in the least load time, for loads that were nearly alone: then the store
-/// itself has become slower.
-const LEAST_WEIGHT: f64 = 0.1;
+/// Weight of a slow load in the minimum load time when almost no other loads ran: then the store itself has become
+/// slower.
+const MIN_TIME_WEIGHT: f64 = 0.1;
 
-/// Weight of a newly seen load in the mean time of loads.
+/// Weight of a new load in the mean load time.
 const MEAN_WEIGHT: f64 = 0.15;
 
-/// Time of a load until one has been seen.
-const FIRST_LOAD_TIME: Duration = Duration::from_millis(300);
+/// Assumed load time until the first load has been measured.
+const INITIAL_LOAD_TIME: Duration = Duration::from_millis(300);
 
 /// Learns the number of loads that the weight store serves at full speed.
 ///
@@ -60,26 +60,26 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LoadLimiter {
     limit: f64,
-    /// Least time of a load, in seconds; `None` until one has been seen.
-    least: Option<f64>,
-    /// Mean time of a load, in seconds.
-    mean: f64,
-    has_seen_slow: bool,
+    /// Minimum load time in seconds; `None` until the first load has been measured.
+    min_time: Option<f64>,
+    /// Mean load time in seconds.
+    mean_time: f64,
+    has_seen_slow_load: bool,
 }
 
 impl Default for LoadLimiter {
     fn default() -> Self {
         Self {
-            limit: FIRST_LIMIT,
-            least: None,
-            mean: FIRST_LOAD_TIME.as_secs_f64(),
-            has_seen_slow: false,
+            limit: INITIAL_LIMIT,
+            min_time: None,
+            mean_time: INITIAL_LOAD_TIME.as_secs_f64(),
+            has_seen_slow_load: false,
         }
     }
 }
 
 impl LoadLimiter {
-    /// Loads that may be on their way at once.
+    /// Returns the number of loads that may run concurrently.
     ///
     /// ```
     /// use quillcove_core::relay::limiter::LoadLimiter;
@@ -90,7 +90,7 @@
         self.limit as usize
     }
 
-    /// Mean time of a load from the weight store.
+    /// Returns the mean time of a load from the weight store.
     ///
     /// ```
     /// use quillcove_core::relay::limiter::LoadLimiter;
@@ -98,11 +98,10 @@
     /// assert!(LoadLimiter::default().load_time() > std::time::Duration::ZERO);
     /// ```
     pub fn load_time(&self) -> Duration {
-        Duration::from_secs_f64(self.mean)
+        Duration::from_secs_f64(self.mean_time)
     }
 
-    /// Takes the time of a load from the weight store, and how many were on their way when it
-    /// ended.
+    /// Records the time of a load from the weight store, and the number of loads that ran when it ended.
     ///
     /// ```
     /// use std::time::Duration;
@@ -115,22 +114,22 @@
     /// }
     /// assert_eq!(limiter.limit(), 2);
     /// ```
-    pub fn note_load(&mut self, took: Duration, at_once: usize) {
-        let took = took.as_secs_f64();
-        self.mean += (took - self.mean) * MEAN_WEIGHT;
-        let at_once = at_once as f64;
-        let mut least = self.least.unwrap_or(took).min(took);
-        if at_once <= LEAST_LIMIT {
-            least += (took - least) * LEAST_WEIGHT;
+    pub fn note_load(&mut self, elapsed: Duration, concurrent: usize) {
+        let elapsed = elapsed.as_secs_f64();
+        self.mean_time += (elapsed - self.mean_time) * MEAN_WEIGHT;
+        let concurrent = concurrent as f64;
+        let mut min_time = self.min_time.unwrap_or(elapsed).min(elapsed);
+        if concurrent <= MIN_LIMIT {
+            min_time += (elapsed - min_time) * MIN_TIME_WEIGHT;
         }
-        self.least = Some(least);
-        if took > least * FULL_SPEED {
-            self.has_seen_slow = true;
-            let served = at_once * least / took * (1.0 + HEADROOM_SHARE) + HEADROOM;
+        self.min_time = Some(min_time);
+        if elapsed > min_time * FULL_SPEED_RATIO {
+            self.has_seen_slow_load = true;
+            let served = concurrent * min_time / elapsed * (1.0 + HEADROOM_SHARE) + HEADROOM;
             self.limit += (served.min(self.limit) - self.limit) * SLOW_WEIGHT;
-        } else if at_once + 1.0 >= self.limit {
-            self.limit += if self.has_seen_slow { GROWTH } else { FIRST_GROWTH };
+        } else if concurrent + 1.0 >= self.limit {
+            self.limit += if self.has_seen_slow_load { GROWTH } else { INITIAL_GROWTH };
         }
-        self.limit = self.limit.clamp(LEAST_LIMIT, MOST_LIMIT);
+        self.limit = self.limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 }
