--- a/quillcove_core/src/relay/machine/cells.rs
+++ b/quillcove_core/src/relay/machine/cells.rs
@@ -1,4 +1,4 @@
-//! Which engines are in this relay's cell.
+//! Cells of engines: divides the engines of each service among relays and prefers those of this relay's own cell.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,24 +11,25 @@
 use crate::relay::replica::ReplicaView;
 use crate::rendezvous;
 
-/// Share of an engine's places that are taken from which on requests also go to engines of other cells, if none in the
-/// own cell has less.
+/// Load of an engine, as requests per request slot, from which it counts as full. Requests also go to engines of other
+/// cells when every engine of the own cell is full.
 const SPILL_LOAD: f64 = 1.0;
 
-/// Time between two looks whether the engines are to be divided anew.
+/// Interval between checks whether the division into cells has to change.
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 
 impl RelayMachine {
-    /// Divides the engines anew when it is time for a look.
+    /// Updates the cells if [`PLAN_INTERVAL`] has passed since the last update.
     pub(super) fn tick_cells(&mut self, now: MonoTime) {
         if now >= self.cells_due {
             self.cells_due = now + PLAN_INTERVAL;
-            self.plan_cells();
+            self.update_cells();
         }
     }
 
-    /// Divides the engines of each service anew, where their number has changed enough.
-    pub(super) fn plan_cells(&mut self) {
+    /// Updates the cells of each service from the number of its engines in each hall. A division changes only when
+    /// these numbers have changed enough (see [`CellPlan::update`]).
+    pub(super) fn update_cells(&mut self) {
         let Some(sheet) = &self.sheet else {
             return;
         };
@@ -45,12 +46,12 @@
         for (service, halls) in engines {
             self.cells.entry(service).or_default().update(&halls);
         }
-        self.place_in_cells();
+        self.mark_near_replicas();
     }
 
-    /// Notes of each replica whether it is in this relay's cell. A cell without a replica that takes work is of no use,
-    /// so that all of its service are then.
-    fn place_in_cells(&mut self) {
+    /// Marks the replicas of this relay's cell. If no replica of the cell is ready, all replicas of the service are
+    /// marked, since the cell could not serve any request.
+    fn mark_near_replicas(&mut self) {
         let mut own: BTreeMap<&ServiceName, EngineCell> = BTreeMap::new();
         for (service, plan) in self.cells.iter().filter(|(_, plan)| plan.count() > 1) {
             own.insert(service, plan.cell_of(&self.rules.hall, &self.rules.host));
@@ -61,21 +62,22 @@
                 .eq(own),
             None => true,
         };
-        let inside: Vec<(ReplicaId, ServiceName, bool)> = self
+        let in_cell: Vec<(ReplicaId, ServiceName, bool)> = self
             .table
             .all()
             .filter(|view| is_in_cell(view))
             .map(|view| (view.record.id.clone(), view.record.service.clone(), view.is_ready()))
             .collect();
-        let has_ready =
-            |service: &str| inside.iter().any(|(_, other, is_ready)| *is_ready && other == service);
-        let lost: Vec<ServiceName> =
+        let has_ready = |service: &str| {
+            in_cell.iter().any(|(_, other, is_ready)| *is_ready && other == service)
+        };
+        let without_ready: Vec<ServiceName> =
             own.keys().filter(|service| !has_ready(service)).map(|it| it.to_string()).collect();
-        let near = inside.into_iter().map(|(id, ..)| id).collect();
-        self.table.set_near(near, &lost);
+        let near = in_cell.into_iter().map(|(id, ..)| id).collect();
+        self.table.set_near(near, &without_ready);
     }
 
-    /// How many cells the engines of a service are divided into.
+    /// Returns the number of cells into which the engines of a service are divided.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -86,7 +88,7 @@
         self.cells.get(service).map_or(1, CellPlan::count)
     }
 
-    /// Tells whether another relay works with the same engines of a service.
+    /// Returns whether another relay uses the same cell of a service.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -101,7 +103,7 @@
         self.cells.get(service).is_none_or(is_same)
     }
 
-    /// Engines of a service in this relay's cell that take new work.
+    /// Returns the ready engines of a service in this relay's cell.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -113,9 +115,9 @@
         self.ready_engines(service).filter(|view| view.is_near)
     }
 
-    /// The engine that holds an adapter for the whole fleet, until it is used so much that cells have copies of their
-    /// own. Without it each cell would bring each adapter that is rarely used. `None` where all engines are one cell,
-    /// and when its home is known to be busy.
+    /// Returns the home of an adapter: the one engine that holds it for all cells until it is used enough for copies in
+    /// each cell. Without a home, each cell would load its own copy of every rarely used adapter. Returns `None` when
+    /// all engines are in one cell, or when the home is known to be busy.
     pub(super) fn home_of(
         &self,
         service: &str,
@@ -136,7 +138,8 @@
         (!is_busy).then(|| home.record.id.clone())
     }
 
-    /// Engines of other cells that hold the adapter of a request, by reports of their loaders to this relay.
+    /// Returns the engines of other cells that hold the adapter of a request, among those whose loaders report to this
+    /// relay.
     pub(super) fn far_holders(&self, query: &RelayQuery, now: MonoTime) -> Vec<&ReplicaView> {
         if query.adapter.is_none() || self.cell_count(&query.service) == 1 {
             return Vec::new();
@@ -150,7 +153,8 @@
         self.table.all().filter(holds).collect()
     }
 
-    /// Of replicas that take work, those of this relay's cell, unless they lack the base model or all are full.
+    /// Returns the replicas of this relay's cell among those that accept requests, or all of them if every replica of
+    /// the cell lacks the base model or is full.
     pub(super) fn prefer_near<'a>(
         &self,
         open: Vec<&'a ReplicaView>,
@@ -161,8 +165,8 @@
         let holds = |view: &&ReplicaView| {
             model.is_none_or(|model| view.models(now).iter().any(|held| held == model))
         };
-        let is_of_use = |view: &&ReplicaView| holds(view) && view.load(now) < SPILL_LOAD;
-        match near.len() == open.len() || near.iter().any(is_of_use) {
+        let can_serve = |view: &&ReplicaView| holds(view) && view.load(now) < SPILL_LOAD;
+        match near.len() == open.len() || near.iter().any(can_serve) {
             true => near,
             false => open,
         }
--- a/quillcove_core/src/relay/machine/limits.rs
+++ b/quillcove_core/src/relay/machine/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that replicas name for all relays together: this relay's part of each, and what relays tell each other.
+//! Rate limits that a replica sets for all relays together: this relay's share of each, and the limit reports that
+//! relays exchange.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,90 +12,94 @@
 use crate::relay::sharing::{self, LimitKind, RelayPeers};
 use crate::standing::limit::RateLimit;
 
-/// Beacons with which news of a limit are told. What gets lost is made up for by [`REPEAT_INTERVAL`].
-const TOLD_TIMES: u32 = 2;
+/// Heartbeats that carry a new limit report. A report lost in all of them is replaced after [`REPEAT_INTERVAL`].
+const REPORT_COUNT: u32 = 2;
 
-/// Time after the end of a limit from which on a good answer shows that it is over to relays which had an answer with
-/// the limit at about the time of its end.
+/// Time after the end of a limit from which a good response is reported as a confirmation of that end. It reaches
+/// relays that received a response with the limit at about the time of its end and therefore still apply it.
 const CONFIRM_TIME: Duration = Duration::from_secs(1);
 
-/// Time after which the first relay in rank repeats what it knows, for those that missed it or are new.
+/// Interval after which the first relay in rank repeats its limit reports, for relays that missed them or started
+/// since.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time for which the end of a limit is repeated.
+/// Time for which the end of a limit is reported.
 const END_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Time from the start of the process until the other relays are known, as far as cold replicas go: one that knows
-/// none would take the whole of what a replica bears for itself.
-const PEERS_KNOWN: Duration = Duration::from_millis(600);
+/// Time from process start until the other relays are taken as known. Until then this relay sends no
+/// requests to a replica in warm-up: a relay that knows no other would take the whole rate of the replica as its share.
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(600);
 
-/// Words in one message, so that it fits into a datagram, and in all messages of one beacon: some 40 bytes each.
-const MOST_WORDS: usize = 24;
+/// Limit reports in one heartbeat, all in one message: some 40 bytes each, so that the message fits into a datagram.
+const MAX_REPORTS: usize = 24;
 
-/// What was told of one replica's limit.
+/// The state of the reports on one replica's limit.
 #[derive(Clone, Copy, Debug)]
-struct ToldLimit {
-    /// Beacons with which it is still to be told.
+struct LimitReportState {
+    /// Heartbeats that still have to carry the report.
     left: u32,
     at: MonoTime,
-    /// Whether the end of the limit was told once more.
+    /// Whether the end of the limit was confirmed (see [`CONFIRM_TIME`]).
     is_confirmed: bool,
 }
 
-/// Whether a replica's word is to be told with a beacon.
+/// Whether a report on a replica's limit is due with the next heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum DueWord {
+enum DueReport {
     None,
-    /// By whoever learnt it.
-    News,
-    /// By the first relay in rank.
-    Old,
+    /// Due as an update, from each relay that learnt it from the replica itself.
+    Update,
+    /// Due as a repeat, from the first relay in rank.
+    Repeat,
 }
 
-/// What was told of limits.
+/// Schedules the limit reports of this relay.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LimitTeller {
-    told: BTreeMap<ReplicaId, ToldLimit>,
+    reports: BTreeMap<ReplicaId, LimitReportState>,
 }
 
 impl LimitTeller {
-    /// Notes what a replica has said itself.
-    fn note_news(&mut self, replica: &str, now: MonoTime) {
-        let told = ToldLimit { left: TOLD_TIMES, at: now, is_confirmed: false };
-        self.told.insert(replica.to_string(), told);
+    /// Schedules a report on a limit that this relay learnt from the replica itself.
+    fn schedule_report(&mut self, replica: &str, now: MonoTime) {
+        let state = LimitReportState { left: REPORT_COUNT, at: now, is_confirmed: false };
+        self.reports.insert(replica.to_string(), state);
     }
 
-    /// Notes a good answer without a limit that came long after the end of one.
-    fn confirm_end(&mut self, replica: &str, now: MonoTime) {
-        if self.told.get(replica).is_none_or(|told| !told.is_confirmed) {
-            let told = ToldLimit { left: TOLD_TIMES, at: now, is_confirmed: true };
-            self.told.insert(replica.to_string(), told);
+    /// Schedules a confirmation that a limit has ended, after a good response without a limit that came at least
+    /// [`CONFIRM_TIME`] after the end.
+    fn schedule_confirmation(&mut self, replica: &str, now: MonoTime) {
+        if self.reports.get(replica).is_none_or(|state| !state.is_confirmed) {
+            let state = LimitReportState { left: REPORT_COUNT, at: now, is_confirmed: true };
+            self.reports.insert(replica.to_string(), state);
         }
     }
 
-    /// Notes that another relay tells what this one knows as well, or knows by it, so that few tell the same.
-    fn note_heard(&mut self, replica: &str, is_confirmed: bool, now: MonoTime) {
-        self.told.insert(replica.to_string(), ToldLimit { left: 0, at: now, is_confirmed });
+    /// Records that another relay has reported the limit that is known here, which defers this relay's own report, so
+    /// that few relays report the same limit.
+    fn record_received(&mut self, replica: &str, is_confirmed: bool, now: MonoTime) {
+        self.reports
+            .insert(replica.to_string(), LimitReportState { left: 0, at: now, is_confirmed });
     }
 
-    fn due(&self, replica: &str, now: MonoTime) -> DueWord {
-        match self.told.get(replica) {
-            Some(told) if told.left > 0 => DueWord::News,
-            Some(told) if now.saturating_sub(told.at) < REPEAT_INTERVAL => DueWord::None,
-            Some(_) | None => DueWord::Old,
+    fn due(&self, replica: &str, now: MonoTime) -> DueReport {
+        match self.reports.get(replica) {
+            Some(state) if state.left > 0 => DueReport::Update,
+            Some(state) if now.saturating_sub(state.at) < REPEAT_INTERVAL => DueReport::None,
+            Some(_) | None => DueReport::Repeat,
         }
     }
 
-    fn note_told(&mut self, replica: &str, now: MonoTime) {
-        let fresh = || ToldLimit { left: 0, at: now, is_confirmed: false };
-        let told = self.told.entry(replica.to_string()).or_insert_with(fresh);
-        told.left = told.left.saturating_sub(1);
-        told.at = now;
+    fn record_sent(&mut self, replica: &str, now: MonoTime) {
+        let fresh = || LimitReportState { left: 0, at: now, is_confirmed: false };
+        let state = self.reports.entry(replica.to_string()).or_insert_with(fresh);
+        state.left = state.left.saturating_sub(1);
+        state.at = now;
     }
 }
 
 impl RelayMachine {
-    /// Takes which other relays are heard, by their hosts.
+    /// Updates the hosts of the other relays whose heartbeats arrive, and this relay's shares of limits with them.
     ///
     /// ```
     /// use std::time::Duration;
@@ -108,11 +113,11 @@
         if peers != self.peers {
             self.peers = peers;
             self.most_peers = self.most_peers.max(self.peers.count());
-            self.share_limits(now);
+            self.update_limit_shares(now);
         }
     }
 
-    /// Takes a good answer to an attempt that names no limit; tells whether a limit ends by it.
+    /// Handles a good response that carries no limit. Returns whether it ends a limit.
     ///
     /// ```
     /// use std::time::Duration;
@@ -134,14 +139,14 @@
         let is_end =
             self.table.note_no_limit(&order.replica, order.born, order.chosen_at, spread, now);
         if is_end {
-            self.limits.note_news(&order.replica, now);
+            self.limits.schedule_report(&order.replica, now);
         } else if known.limit.is_none() && known.known_for >= CONFIRM_TIME {
-            self.limits.confirm_end(&order.replica, now);
+            self.limits.schedule_confirmation(&order.replica, now);
         }
         is_end
     }
 
-    /// Takes what another relay tells of limits.
+    /// Applies the limit reports of another relay.
     ///
     /// ```
     /// use std::time::Duration;
@@ -153,26 +158,26 @@
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
     /// machine.list(example_record("i-1"), Duration::ZERO);
     /// let limit = RateLimit::per_second(2.0);
-    /// let word = LimitWord { replica: "i-1".into(), born: None, limit, age: Duration::ZERO };
-    /// machine.take_limits(&LimitBeacon { words: vec![word] }, Duration::ZERO);
+    /// let report = LimitWord { replica: "i-1".into(), born: None, limit, age: Duration::ZERO };
+    /// machine.take_limits(&LimitBeacon { words: vec![report] }, Duration::ZERO);
     /// assert!(!machine.table().get("i-1").unwrap().takes_work(Duration::ZERO));
     /// ```
     pub fn take_limits(&mut self, beacon: &LimitBeacon, now: MonoTime) {
-        for word in &beacon.words {
+        for report in &beacon.words {
             let spread = self.return_spread();
-            let LimitWord { replica, born, limit, age } = word;
+            let LimitWord { replica, born, limit, age } = report;
             if self.table.note_told_limit(replica, *born, *limit, *age, spread, now) {
-                self.share_limit(replica, now);
+                self.update_limit_share(replica, now);
             }
             let known = self.table.get(replica).and_then(|view| view.standing.limit_word(now));
             if let Some(known) = known.filter(|known| known.limit == *limit) {
                 let is_confirmed = *age + CONFIRM_TIME <= known.known_for;
-                self.limits.note_heard(replica, is_confirmed, now);
+                self.limits.record_received(replica, is_confirmed, now);
             }
         }
     }
 
-    /// What is to be told of limits with a beacon.
+    /// Returns the limit reports to send with the next heartbeat, and records them as sent; `None` when there are none.
     ///
     /// ```
     /// use std::time::Duration;
@@ -181,78 +186,80 @@
     /// assert!(RelayMachine::new(RelayRules::default(), 1).tell_limits(Duration::ZERO).is_none());
     /// ```
     pub fn tell_limits(&mut self, now: MonoTime) -> Option<LimitBeacon> {
-        let due = self.table.all().filter_map(|view| self.due_word(view, now));
-        let due: Vec<(DueWord, LimitWord)> = due.take(MOST_WORDS).collect();
+        let due = self.table.all().filter_map(|view| self.due_report(view, now));
+        let due: Vec<(DueReport, LimitWord)> = due.take(MAX_REPORTS).collect();
         let mut words = Vec::new();
-        for (due, word) in due {
-            self.limits.note_told(&word.replica, now);
-            if due == DueWord::News || self.peers.rank(&word.replica) == 0 {
-                words.push(word);
+        for (due, report) in due {
+            self.limits.record_sent(&report.replica, now);
+            if due == DueReport::Update || self.peers.rank(&report.replica) == 0 {
+                words.push(report);
             }
         }
         let table = &self.table;
-        self.limits.told.retain(|replica, _| table.get(replica).is_some());
+        self.limits.reports.retain(|replica, _| table.get(replica).is_some());
         (!words.is_empty()).then_some(LimitBeacon { words })
     }
 
-    fn due_word(&self, view: &ReplicaView, now: MonoTime) -> Option<(DueWord, LimitWord)> {
+    fn due_report(&self, view: &ReplicaView, now: MonoTime) -> Option<(DueReport, LimitWord)> {
         let known = view.standing.limit_word(now)?;
         let is_over = known.limit.is_none() && known.known_for >= END_LIFETIME;
         let replica = &view.record.id;
         let due = self.limits.due(replica, now);
-        if is_over || due == DueWord::None {
+        if is_over || due == DueReport::None {
             return None;
         }
         let (limit, age) = (known.limit, known.age);
         Some((due, LimitWord { replica: replica.clone(), born: view.record.born, limit, age }))
     }
 
-    /// Notes that a replica has named another limit to this relay than was known.
+    /// Records that a replica has announced a limit to this relay other than the one known.
     pub(super) fn note_limit_news(&mut self, replica: &str, now: MonoTime) {
-        self.limits.note_news(replica, now);
-        self.share_limit(replica, now);
+        self.limits.schedule_report(replica, now);
+        self.update_limit_share(replica, now);
     }
 
-    pub(super) fn share_limits(&mut self, now: MonoTime) {
+    pub(super) fn update_limit_shares(&mut self, now: MonoTime) {
         let is_limited = |view: &&ReplicaView| {
             view.standing.limit().is_some() || view.standing.cold_rate(now).is_some()
         };
         let limited = self.table.all().filter(is_limited);
         let limited: Vec<ReplicaId> = limited.map(|view| view.record.id.clone()).collect();
         for replica in limited {
-            self.share_limit(&replica, now);
+            self.update_limit_share(&replica, now);
         }
     }
 
-    /// Sets this relay's parts of what a replica takes: of the limit that it names, and of what it bears while it is
-    /// cold.
-    pub(super) fn share_limit(&mut self, replica: &str, now: MonoTime) {
+    /// Updates this relay's shares of a replica's request rates: of the limit that it announces, and of its warm-up
+    /// rate.
+    pub(super) fn update_limit_share(&mut self, replica: &str, now: MonoTime) {
         let Some(view) = self.table.get(replica) else {
             return;
         };
-        let (named, cold) = (view.standing.limit(), view.standing.cold_rate(now));
-        if let Some(limit) = named {
-            let gap = self.gap_of(replica, limit, LimitKind::Named);
+        let (announced, warm_up) = (view.standing.limit(), view.standing.cold_rate(now));
+        if let Some(limit) = announced {
+            let gap = self.gap_of(replica, limit, LimitKind::Announced);
             self.table.set_limit_gap(replica, gap, now);
         }
-        if let Some(rate) = cold {
-            let gap = self.gap_of(replica, rate, LimitKind::Cold);
-            self.table.set_cold_gap(replica, gap.filter(|_| now >= PEERS_KNOWN), now);
+        if let Some(rate) = warm_up {
+            let gap = self.gap_of(replica, rate, LimitKind::WarmUp);
+            self.table.set_cold_gap(replica, gap.filter(|_| now >= PEER_DISCOVERY_TIME), now);
         }
     }
 
-    /// Time between two requests of this relay to a replica with a limit; `None` when others send them.
+    /// Returns the time between two requests of this relay to a replica with a limit; `None` when only other relays
+    /// send to it.
     fn gap_of(&self, replica: &str, limit: RateLimit, kind: LimitKind) -> Option<Duration> {
         let relays = self.peers.count();
-        let sharers = sharing::sharers(limit, kind, relays, self.rules.policy.sharing);
-        // Relays that are not heard may be cut off and go on with their part.
-        let heard = FleetSize { heard: relays, most: self.most_peers }.share();
-        let gap = limit.gap().mul_f64(sharers as f64 / heard);
-        (self.peers.rank(replica) < sharers).then_some(gap)
+        let senders = sharing::sender_count(limit, kind, relays, self.rules.policy.sharing);
+        // Unreachable relays may be partitioned and go on using their shares.
+        let share = FleetSize { heard: relays, most: self.most_peers }.share();
+        let gap = limit.gap().mul_f64(senders as f64 / share);
+        (self.peers.rank(replica) < senders).then_some(gap)
     }
 
-    /// Takes that a replica is cold, if its entry says so. Relays return to it one after the other.
-    pub(super) fn note_cold(&mut self, replica: &str, now: MonoTime) -> bool {
+    /// Applies the warm-up of a replica if its entry names one. The warm-up ends at a random delay for each relay, so
+    /// that relays return to the replica one after the other. Returns whether the warm-up was not known before.
+    pub(super) fn apply_warm_up(&mut self, replica: &str, now: MonoTime) -> bool {
         let Some(record) = self.table.get(replica).map(|view| &view.record) else {
             return false;
         };
@@ -265,18 +272,18 @@
             return false;
         }
         let until = now + left + self.return_spread();
-        let is_news = self.table.note_cold(replica, rate, until, now);
-        if is_news {
-            self.share_limit(replica, now);
+        let has_changed = self.table.note_cold(replica, rate, until, now);
+        if has_changed {
+            self.update_limit_share(replica, now);
         }
-        is_news
+        has_changed
     }
 
-    /// Takes the parts of cold replicas once the other relays are known.
+    /// Sets the shares of warm-up rates once the other relays are taken as known.
     pub(super) fn share_when_peers_are_known(&mut self, now: MonoTime) {
-        if !self.are_peers_known && now >= PEERS_KNOWN {
+        if !self.are_peers_known && now >= PEER_DISCOVERY_TIME {
             self.are_peers_known = true;
-            self.share_limits(now);
+            self.update_limit_shares(now);
         }
     }
 }
--- a/quillcove_core/src/relay/machine/published.rs
+++ b/quillcove_core/src/relay/machine/published.rs
@@ -1,5 +1,5 @@
-//! What the platform has published: the sheet, versions of adapters, and the list of replicas, read
-//! from its store or from another relay.
+//! State published by the platform: the configuration, the adapter versions and the list of replicas, read from the
+//! store or received from another relay.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use crate::relay::replica::{RecordOrder, ReplicaRecord};
 use crate::relay::sheet::RouteSheet;
 
-/// Time in which requests may still begin on an adapter's version after a newer one was
-/// published. The users allow 5 s; the rest is for requests on their way.
+/// Time within which requests may still begin on an adapter version after a newer one was published. The requirements
+/// allow 5 s; the rest is for requests in transit.
 const VERSION_GRACE: Duration = Duration::from_secs(3);
 
 impl RelayMachine {
-    /// Takes a sheet unless one of the same or a higher version is in force.
+    /// Applies a configuration unless one of the same or a higher version is in force. Returns whether it was applied.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -38,8 +38,8 @@
         is_newer
     }
 
-    /// Takes the newest version of an adapter. A version that was published before this process
-    /// began to watch allows no grace.
+    /// Applies the newest version of an adapter. The older version stays usable for a grace period only if `is_fresh`:
+    /// a version that was published before this process began to watch the store gets none.
     ///
     /// ```
     /// use std::time::Duration;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes whether a hall is to be emptied, or in use again.
+    /// Marks a hall as evacuated or as in use. Returns the change, if any.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{BeliefChange, RelayMachine, RelayRules};
@@ -76,16 +76,16 @@
     /// ```
     pub fn set_emptied(&mut self, hall: &str, is_emptied: bool) -> Option<BeliefChange> {
         self.doubt.end_hall(hall);
-        let is_news = self.table.set_emptied(hall, is_emptied);
+        let has_changed = self.table.set_emptied(hall, is_emptied);
         let change = match is_emptied {
             true => BeliefChange::HallEmptied(hall.to_string()),
             false => BeliefChange::HallInUse(hall.to_string()),
         };
-        is_news.then_some(change)
+        has_changed.then_some(change)
     }
 
-    /// Takes all halls that are to be emptied; the others are in use, but for those that an older copy of the store
-    /// may lack.
+    /// Applies the complete list of evacuated halls. All others are in use, except for those that may be missing only
+    /// because the store was restored from an older copy.
     ///
     /// ```
     /// use std::time::Duration;
@@ -110,8 +110,8 @@
         changes
     }
 
-    /// Takes a replica's entry from the platform's listing. The replicas that were listed at its
-    /// address before it are gone, although their entries have not lapsed yet.
+    /// Applies a replica's entry in the platform's list. Replicas that were listed earlier at its address are gone,
+    /// although their entries have not expired yet.
     ///
     /// ```
     /// use std::time::Duration;
@@ -131,7 +131,7 @@
         if order == RecordOrder::Late {
             return Vec::new();
         }
-        let was_doubted = self.doubt.end_replica(&record.id);
+        let was_unconfirmed = self.doubt.end_replica(&record.id);
         let mut changes = Vec::new();
         if order == RecordOrder::Restart {
             self.forget(&record.id);
@@ -144,21 +144,22 @@
         }
         let id = record.id.clone();
         let is_changed = self.table.list(record, now);
-        // What it said before its entry lapsed still holds, while the relays may have changed.
-        self.share_limit(&id, now);
-        let is_cold = self.note_cold(&id, now);
+        // The upstream status reported before the entry expired still applies, but the relays that share its limit may
+        // have changed.
+        self.update_limit_share(&id, now);
+        let is_warming_up = self.apply_warm_up(&id, now);
         if is_changed {
             changes.push(BeliefChange::Listed(id));
-        } else if was_doubted {
+        } else if was_unconfirmed {
             changes.push(BeliefChange::Returned(id));
-        } else if is_cold {
+        } else if is_warming_up {
             changes.push(BeliefChange::Cold(id));
         }
         changes
     }
 
-    /// Takes the news that a replica's entry is gone. While the store is away or has just come
-    /// back, the entry may have lapsed only because the replica could not renew it.
+    /// Handles the removal of a replica's entry. While the store is unavailable or has just become available again, the
+    /// entry may have expired only because the replica could not renew it.
     ///
     /// ```
     /// use std::time::Duration;
@@ -177,7 +178,7 @@
         Some(BeliefChange::Gone(id.to_string()))
     }
 
-    /// Takes the whole listing: replicas that it does not name are gone.
+    /// Applies the complete list of replicas: those that it lacks are gone.
     ///
     /// ```
     /// use std::time::Duration;
@@ -193,12 +194,12 @@
         let mut changes: Vec<BeliefChange> =
             missing.iter().filter_map(|id| self.unlist(id, now)).collect();
         changes.extend(self.list_present(records, now));
-        self.plan_cells();
+        self.update_cells();
         changes
     }
 
-    /// Takes the entries of a whole listing, but for those of replicas that are known to be gone: an older copy of the
-    /// store, or another relay, may still have them.
+    /// Applies the entries of a complete list, except for those of replicas that are known to be gone: an older copy of
+    /// the store, or another relay, may still list them.
     fn list_present(&mut self, records: Vec<ReplicaRecord>, now: MonoTime) -> Vec<BeliefChange> {
         let mut changes = Vec::new();
         for record in records {
@@ -209,21 +210,21 @@
         changes
     }
 
-    /// Forgets a replica whose entry is gone.
+    /// Removes a replica whose entry is gone.
     pub(super) fn remove_gone(&mut self, id: &str) {
         self.table.remove_gone(id);
         self.doubt.end_replica(id);
         self.demand.forget_engine(id);
     }
 
-    /// Replicas that are known and not among these.
+    /// Returns the known replicas that are not among `records`.
     fn missing_in(&self, records: &[ReplicaRecord]) -> Vec<ReplicaId> {
         let listed: HashSet<&ReplicaId> = records.iter().map(|record| &record.id).collect();
         let known = self.table.all().map(|view| &view.record.id);
         known.filter(|id| !listed.contains(id)).cloned().collect()
     }
 
-    /// All that this relay has read from the store.
+    /// Returns everything that this relay knows from the store.
     ///
     /// ```
     /// use std::time::Duration;
@@ -236,31 +237,32 @@
         let version = |(key, (version, _)): (&AdapterKey, &(AdapterVersion, MonoTime))| {
             HeldAdapter { key: key.clone(), version: *version }
         };
-        let word = self.knowledge.word(true, Duration::ZERO);
+        let summary = self.knowledge.word(true, Duration::ZERO);
         PublishedState {
-            read: word.read,
-            changed: word.changed,
-            since: word.since,
+            read: summary.read,
+            changed: summary.changed,
+            since: summary.since,
             proof: self.knowledge.proof(now),
             sheet: self.sheet.as_deref().cloned(),
             versions: self.versions.iter().map(version).collect(),
             emptied: self.table.emptied().iter().cloned().collect(),
             replicas: self.table.all().map(|view| view.record.clone()).collect(),
             lapsed: self.doubt.entries(now),
-            leaving: self.leaving_replicas().collect(),
+            leaving: self.draining_replicas().collect(),
         }
     }
 
-    /// Replicas that have said themselves that they leave, to this relay or to their loaders. What others only
-    /// told is not passed on, so that one relay's error ends with the relays that ask it.
-    fn leaving_replicas(&self) -> impl Iterator<Item = LeavingReplica> {
+    /// Returns the replicas that have reported their own draining, to this relay or to their loaders. Reports received
+    /// from other relays are not passed on, so that an error of one relay does not spread beyond the relays that read
+    /// its state.
+    fn draining_replicas(&self) -> impl Iterator<Item = LeavingReplica> {
         let leaving = self.table.all().filter(|view| view.leaving_since().is_some());
         leaving
             .map(|view| LeavingReplica { replica: view.record.id.clone(), born: view.record.born })
     }
 
-    /// Takes what another relay has read, part by part, where that is newer than what this one has;
-    /// tells what changed.
+    /// Applies another relay's state of the store, part by part, where it is newer than this relay's. Returns what
+    /// changed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -298,15 +300,15 @@
         if published.read.operator > known.operator {
             changes.extend(self.set_all_emptied(&published.emptied, now));
         }
-        self.note_told(StorePart::Operator, &published);
-        // The other relay may know more of what the operator wrote and less of the replicas.
+        self.record_received(StorePart::Operator, &published);
+        // The other relay may be ahead on the operator's part and behind on the replicas.
         if published.read.replicas <= known.replicas {
             return changes;
         }
-        self.note_told(StorePart::Replicas, &published);
+        self.record_received(StorePart::Replicas, &published);
         let is_later_era = known.replicas.precedes_era(published.read.replicas.era);
         for id in self.missing_in(&published.replicas) {
-            // Within an era, the other relay has read of the removal, or doubts it and lists it.
+            // Within an era, the other relay has read the removal: it would still list a replica that is unconfirmed.
             if !is_later_era {
                 self.remove_gone(&id);
                 changes.push(BeliefChange::Gone(id));
@@ -315,26 +317,26 @@
             }
         }
         changes.extend(self.list_present(published.replicas, now));
-        // The other relay's doubt is this one's as well: the removal of their entries is older than what this
-        // one reads from now on, so that it would never hear of it.
+        // Replicas that are unconfirmed there are unconfirmed here too: the removal of their entries precedes the
+        // position from which this relay reads on, so it would never learn of it.
         for entry in published.lapsed {
             if self.table.get(&entry.replica).is_some() {
                 self.doubt_replica(&entry.replica, now + entry.left);
             }
         }
-        self.plan_cells();
+        self.update_cells();
         changes
     }
 
-    /// Notes what another relay's state says of a part. What changed in it changed for this relay too,
-    /// so that a third one does not take its revision without the change.
-    fn note_told(&mut self, part: StorePart, published: &PublishedState) {
+    /// Records the positions of a part in another relay's state. What changed in it has changed for this relay too, so
+    /// that a third relay does not adopt this relay's revision without the change.
+    fn record_received(&mut self, part: StorePart, published: &PublishedState) {
         self.knowledge.note_position(part, published.read.of(part));
         self.knowledge.note_change(part, published.changed.of(part));
         self.knowledge.note_whole(part, published.since.of(part));
     }
 
-    /// Positions in the store up to which this relay knows its parts.
+    /// Returns the store positions up to which this relay knows each part.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -346,7 +348,7 @@
         self.knowledge.read()
     }
 
-    /// What this relay knows of the store, and since when.
+    /// Returns what this relay knows of the store, and since when.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -359,7 +361,7 @@
         &self.knowledge
     }
 
-    /// The same, to note what was read or told.
+    /// Returns this knowledge for changes: positions that were read, or received from other relays.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -373,7 +375,7 @@
         &mut self.knowledge
     }
 
-    /// Notes the position in the store up to which this relay has read a part.
+    /// Records the store position up to which this relay has read a part.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
--- a/quillcove_core/src/relay/sharing.rs
+++ b/quillcove_core/src/relay/sharing.rs
@@ -1,59 +1,61 @@
-//! Which relays send to a replica that names a limit for all of them together.
+//! Selection of the relays that send to a replica with a rate limit for all relays together.
 //!
-//! Each relay that sends may have one request at the replica beside the mean of its part, so the more there are, the
-//! more may come at one moment. A limit is therefore shared by few relays, which a rendezvous hash picks: all that
-//! know the same relays pick the same ones, with no message, and one that goes is followed by the next in rank.
+//! Each sending relay may have one request at the replica above the mean of its share, so the more relays send, the
+//! more requests can arrive at one moment. A limit is therefore shared by few relays, selected by a rendezvous hash:
+//! relays with the same membership select the same senders without any message, and a sender that fails is replaced by
+//! the next in rank.
 
 use super::policy::SharingRule;
 use crate::ids::HostId;
 use crate::rendezvous;
 use crate::standing::limit::RateLimit;
 
-/// Relays that share the lowest of limits. The users bear five requests beyond one and a half times a limit; what is left is
-/// for relays that do not know each other yet.
-const FEWEST_SHARERS: usize = 3;
+/// Number of sending relays for the lowest limits. The requirements allow five requests above 1.5 times a limit; the
+/// remainder is for relays that do not know each other yet.
+const MIN_SENDERS: usize = 3;
 
-/// Why a replica takes few requests.
+/// The reason for a replica's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitKind {
-    /// It names a limit in its answers. Requests are counted in spans of several seconds.
-    Named,
-    /// It is cold. Requests are counted in spans of one second, so that fewer relays may have one each in it.
-    Cold,
+    /// The replica announces a limit in its responses. Requests are counted over intervals of several seconds.
+    Announced,
+    /// The replica is in warm-up. Requests are counted over intervals of one second, so fewer relays may have one
+    /// request each in an interval.
+    WarmUp,
 }
 
 impl LimitKind {
-    /// Requests a second for each of which there is one more relay that sends.
-    fn rate_a_sharer(self) -> f64 {
+    /// Returns the requests a second for each of which one more relay sends.
+    fn rate_per_sender(self) -> f64 {
         match self {
-            Self::Named => 2.0,
-            Self::Cold => 4.0,
+            Self::Announced => 2.0,
+            Self::WarmUp => 4.0,
         }
     }
 }
 
-/// Relays that send to a replica with this limit, of so many that are there.
+/// Returns the number of relays, out of `relays`, that send to a replica with this limit.
 ///
 /// ```
 /// use quillcove_core::relay::policy::SharingRule;
-/// use quillcove_core::relay::sharing::{LimitKind, sharers};
+/// use quillcove_core::relay::sharing::{LimitKind, sender_count};
 /// use quillcove_core::standing::limit::RateLimit;
 ///
 /// let limit = RateLimit::per_second(1.5).unwrap();
-/// assert_eq!(sharers(limit, LimitKind::Named, 2, SharingRule::Few), 2);
-/// assert_eq!(sharers(limit, LimitKind::Named, 420, SharingRule::Few), 4);
-/// assert_eq!(sharers(limit, LimitKind::Cold, 420, SharingRule::Few), 3);
-/// assert_eq!(sharers(limit, LimitKind::Named, 420, SharingRule::All), 420);
+/// assert_eq!(sender_count(limit, LimitKind::Announced, 2, SharingRule::Few), 2);
+/// assert_eq!(sender_count(limit, LimitKind::Announced, 420, SharingRule::Few), 4);
+/// assert_eq!(sender_count(limit, LimitKind::WarmUp, 420, SharingRule::Few), 3);
+/// assert_eq!(sender_count(limit, LimitKind::Announced, 420, SharingRule::All), 420);
 /// ```
-pub fn sharers(limit: RateLimit, kind: LimitKind, relays: usize, rule: SharingRule) -> usize {
-    let of_rate = limit.rate() / kind.rate_a_sharer() + 0.5;
+pub fn sender_count(limit: RateLimit, kind: LimitKind, relays: usize, rule: SharingRule) -> usize {
+    let extra = limit.rate() / kind.rate_per_sender() + 0.5;
     match rule {
-        SharingRule::Few => relays.min(FEWEST_SHARERS + of_rate as usize),
+        SharingRule::Few => relays.min(MIN_SENDERS + extra as usize),
         SharingRule::All => relays,
     }
 }
 
-/// The relays among which limits are shared.
+/// The relays among which limits are shared: this one and the others that it receives heartbeats from.
 ///
 /// ```
 /// use quillcove_core::relay::sharing::RelayPeers;
@@ -68,7 +70,7 @@
 }
 
 impl RelayPeers {
-    /// A relay and the others that it hears.
+    /// Creates the peers of the relay on the host `own`.
     ///
     /// ```
     /// use quillcove_core::relay::sharing::RelayPeers;
@@ -79,7 +81,7 @@
         Self { own, others }
     }
 
-    /// How many they are, this one included.
+    /// Returns the number of relays, this one included.
     ///
     /// ```
     /// assert_eq!(quillcove_core::relay::sharing::RelayPeers::default().count(), 1);
@@ -88,7 +90,7 @@
         self.others.len() + 1
     }
 
-    /// How many of the others go before this one for a replica.
+    /// Returns this relay's rank for a replica: the number of other relays that precede it.
     ///
     /// ```
     /// use quillcove_core::relay::sharing::RelayPeers;
@@ -100,7 +102,7 @@
     /// ```
     pub fn rank(&self, replica: &str) -> usize {
         let own = (rendezvous::weight(replica, &self.own), &self.own);
-        let is_before = |host: &&HostId| (rendezvous::weight(replica, host), *host) > own;
-        self.others.iter().filter(is_before).count()
+        let precedes = |host: &&HostId| (rendezvous::weight(replica, host), *host) > own;
+        self.others.iter().filter(precedes).count()
     }
 }
