--- a/quillcove_core/src/relay/machine/access.rs
+++ b/quillcove_core/src/relay/machine/access.rs
@@ -102,7 +102,7 @@
         &self.ledger
     }
 
-    /// Returns the usage accounts for changes, and for the reports to other relays.
+    /// Returns mutable access to the usage accounts, for the exchange of usage reports with other relays.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
@@ -132,8 +132,8 @@
         self.ledger.take_told(report, limit_of, now);
     }
 
-    /// Returns whether the freshness proof of the access table needs renewal. `asked_at` is when other relays were last
-    /// asked for a newer proof.
+    /// Returns how the freshness proof of the access table has to be renewed now, if at all. `asked_at` is when other
+    /// relays were last asked for a newer proof.
     ///
     /// ```
     /// use std::time::Duration;
--- a/quillcove_core/src/relay/machine/crashes.rs
+++ b/quillcove_core/src/relay/machine/crashes.rs
@@ -31,7 +31,7 @@
         &self.crashes
     }
 
-    /// Returns the crash records for changes, and for the exchange with other relays.
+    /// Returns mutable access to the crash records, for their exchange with other relays.
     ///
     /// ```
     /// use std::time::Duration;
--- a/quillcove_core/src/relay/machine/published.rs
+++ b/quillcove_core/src/relay/machine/published.rs
@@ -361,7 +361,7 @@
         &self.knowledge
     }
 
-    /// Returns this knowledge for changes: positions that were read, or received from other relays.
+    /// Returns mutable access to this knowledge, to record positions that were read or received from other relays.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
