--- a/quillcove_core/src/relay/beacon.rs
+++ b/quillcove_core/src/relay/beacon.rs
@@ -260,14 +260,14 @@
     /// ```
     /// use quillcove_core::relay::beacon::LoadAsk;
     ///
-    /// let ask = LoadAsk {
+    /// let request = LoadAsk {
     ///     replica: "i-1".into(),
     ///     model: "m".into(),
     ///     adapter: None,
     ///     version: None,
     ///     places: 4,
     /// };
-    /// assert_eq!(ask.key(), None);
+    /// assert_eq!(request.key(), None);
     /// ```
     pub fn key(&self) -> Option<AdapterKey> {
         let adapter = self.adapter.clone()?;
@@ -392,8 +392,8 @@
     /// ```
     /// use quillcove_core::relay::beacon::{PeerMessage, PeerMessageKind, ResendAsk};
     ///
-    /// let ask = ResendAsk { relay: "127.0.0.1:1".parse().unwrap() };
-    /// assert_eq!(PeerMessage::Resend(ask).kind(), PeerMessageKind::Resend);
+    /// let request = ResendAsk { relay: "127.0.0.1:1".parse().unwrap() };
+    /// assert_eq!(PeerMessage::Resend(request).kind(), PeerMessageKind::Resend);
     /// ```
     pub fn kind(&self) -> PeerMessageKind {
         match self {
--- a/quillcove_core/src/relay/cell.rs
+++ b/quillcove_core/src/relay/cell.rs
@@ -4,7 +4,7 @@
 //! therefore divided into cells, first by hall and then each hall into halves, and a relay exchanges
 //! heartbeats with the loaders of its own cell only, so that the messages that one process receives do not
 //! grow with the fleet. Engines and relays are assigned to cells by a hash, so that all processes with the
-//! same membership list agree without messages. A process with another list for a moment only sends to
+//! same listing of engines agree without messages. A process with another listing for a moment only sends to
 //! a few loaders too many or too few.
 
 use std::collections::BTreeMap;
@@ -16,8 +16,9 @@
 /// times a second.
 const MAX_CELL_ENGINES: usize = 96;
 
-/// Number of engines below which cells are merged. Between this and half of [`MAX_CELL_ENGINES`] a division
-/// stays as it is, so that a few engines joining or leaving do not move others to another cell.
+/// Number of engines in a cell below which two cells are merged. Between this and half of
+/// [`MAX_CELL_ENGINES`] a division stays as it is, so that a few engines joining or leaving do not move
+/// others to another cell.
 const MIN_CELL_ENGINES: usize = 32;
 
 /// Number of engines from which a hall has cells of its own. The engines of smaller halls are assigned to
--- a/quillcove_core/src/relay/demand/mod.rs
+++ b/quillcove_core/src/relay/demand/mod.rs
@@ -347,7 +347,7 @@
     ///
     /// let key = AdapterKey { model: "m".into(), adapter: "a1".into() };
     /// let service = "s".to_string();
-    /// let lacked = LackedAdapter {
+    /// let need = LackedAdapter {
     ///     key: &key,
     ///     service: &service,
     ///     version: None,
@@ -355,26 +355,26 @@
     ///     holders: 1,
     ///     home: None,
     /// };
-    /// AdapterDemand::default().want(&lacked, true, Duration::ZERO);
+    /// AdapterDemand::default().want(&need, true, Duration::ZERO);
     /// ```
-    pub fn want(&mut self, lacked: &LackedAdapter<'_>, is_new: bool, now: MonoTime) {
+    pub fn want(&mut self, need: &LackedAdapter<'_>, is_new: bool, now: MonoTime) {
         let new_need = || NeededAdapter {
-            service: lacked.service.clone(),
-            home: lacked.home.cloned(),
-            version: lacked.version,
+            service: need.service.clone(),
+            home: need.home.cloned(),
+            version: need.version,
             requests: 0,
             first_needed_at: now,
-            useful_until: lacked.useful_until,
-            holders: lacked.holders,
+            useful_until: need.useful_until,
+            holders: need.holders,
             is_met: false,
         };
-        let needed = self.needed.entry(lacked.key.clone()).or_insert_with(new_need);
-        if lacked.home.is_none() {
+        let needed = self.needed.entry(need.key.clone()).or_insert_with(new_need);
+        if need.home.is_none() {
             needed.home = None;
         }
-        needed.version = needed.version.max(lacked.version);
-        needed.useful_until = needed.useful_until.max(lacked.useful_until);
-        needed.holders = needed.holders.max(lacked.holders);
+        needed.version = needed.version.max(need.version);
+        needed.useful_until = needed.useful_until.max(need.useful_until);
+        needed.holders = needed.holders.max(need.holders);
         if is_new {
             needed.requests += 1;
         }
--- a/quillcove_core/src/relay/loader/mod.rs
+++ b/quillcove_core/src/relay/loader/mod.rs
@@ -135,17 +135,17 @@
     /// use quillcove_core::relay::beacon::UseBeacon;
     /// use quillcove_core::relay::loader::LoaderMachine;
     ///
-    /// let beacon = UseBeacon { relay: "127.0.0.1:1".parse().unwrap(), uses: Vec::new() };
-    /// LoaderMachine::new("e1".into(), 1).take_uses(beacon, Duration::ZERO);
+    /// let heartbeat = UseBeacon { relay: "127.0.0.1:1".parse().unwrap(), uses: Vec::new() };
+    /// LoaderMachine::new("e1".into(), 1).take_uses(heartbeat, Duration::ZERO);
     /// ```
-    pub fn take_uses(&mut self, beacon: UseBeacon, now: MonoTime) {
-        for used in beacon.uses.iter().filter(|used| used.sent > 0) {
+    pub fn take_uses(&mut self, heartbeat: UseBeacon, now: MonoTime) {
+        for used in heartbeat.uses.iter().filter(|used| used.sent > 0) {
             let meter = self.demand.entry(used.key.clone()).or_default();
             meter.add(now, f64::from(used.sent), DEMAND_HALF_LIFE);
         }
-        let in_flight = beacon.uses.into_iter().filter(|used| used.in_flight > 0);
+        let in_flight = heartbeat.uses.into_iter().filter(|used| used.in_flight > 0);
         let in_flight = in_flight.map(|used| (used.key, used.in_flight)).collect();
-        self.in_flight.insert(beacon.relay, (in_flight, now));
+        self.in_flight.insert(heartbeat.relay, (in_flight, now));
     }
 
     /// Returns the requests in flight for each adapter of the engine, in the order of the report,
@@ -497,7 +497,7 @@
         }
     }
 
-    /// Returns the ages of the base-model loads that still count against the load rate.
+    /// Returns the ages of the recently started base-model loads that read from the weight store.
     ///
     /// ```
     /// use std::time::Duration;
