--- a/quillcove_core/src/access/account.rs
+++ b/quillcove_core/src/access/account.rs
@@ -1,5 +1,5 @@
-//! What one relay believes of a workspace's use: a token bucket for the whole fleet, from which it takes
-//! what it spends itself at once and what others spend when it hears of it.
+//! The usage account of one workspace at one relay: a token bucket for the whole fleet. The relay's
+//! own spending is deducted immediately, that of other relays when their totals arrive.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 use super::limit::{LimitRules, UseLimit};
 use crate::ids::{HostId, Incarnation, MonoTime};
 
-/// Part of the slack of a limit that all relays together may have spent without telling. The rest is for
-/// messages on their way, for requests that wait between their charge and their run, and for relays that
-/// have just been cut off.
-const UNTOLD_SHARE: f64 = 0.3;
+/// Share of the overshoot allowance that all relays together may have spent but not yet reported.
+/// The rest covers messages in transit, requests that wait between their charge and their run, and
+/// relays that have just been cut off.
+const UNREPORTED_SHARE: f64 = 0.3;
 
-/// Part of what a relay may spend without telling that its beacon does not mention.
-const BEACON_SHARE: f64 = 0.25;
+/// Share of a relay's unreported limit below which a heartbeat leaves the account out.
+const HEARTBEAT_SHARE: f64 = 0.25;
 
-/// Longest time after which a refused caller is told to come back: beyond it, too much may have changed.
-const LONGEST_RETURN: Duration = Duration::from_secs(10);
+/// Longest retry delay given to a rejected caller: the load may change too much beyond it.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// What another relay has spent, as last heard.
+/// Total that another relay last reported.
 #[derive(Clone, Copy, Debug)]
-struct HeardTotal {
+struct PeerTotal {
     incarnation: Incarnation,
     total: i64,
 }
 
-/// The account of one workspace at one relay.
+/// The usage account of one workspace at one relay.
 ///
 /// ```
 /// use std::time::Duration;
@@ -44,18 +44,19 @@
 #[derive(Clone, Debug)]
 pub struct LimitAccount {
     limit: UseLimit,
-    /// Units that the fleet may still spend, as far as is known here; below zero when more was spent.
+    /// Units that the fleet may still spend, as far as this relay knows; negative after an
+    /// overshoot.
     level: f64,
-    filled_at: MonoTime,
-    /// Units spent here since the start of the process.
+    refilled_at: MonoTime,
+    /// Units spent at this relay since the start of the process.
     spent: i64,
-    /// The same as others were last told.
-    told: i64,
-    /// Requests charged since then.
-    untold_requests: u32,
-    /// When the last refused caller was told to come back.
-    returns_until: MonoTime,
-    heard: BTreeMap<HostId, HeardTotal>,
+    /// Value of `spent` in the last report to the other relays.
+    reported: i64,
+    /// Requests charged since the last report.
+    unreported_requests: u32,
+    /// Time at which the most recently rejected caller is to retry.
+    last_retry_at: MonoTime,
+    peer_totals: BTreeMap<HostId, PeerTotal>,
 }
 
 impl LimitAccount {
@@ -63,12 +64,12 @@
         Self {
             limit,
             level,
-            filled_at: MonoTime::ZERO,
+            refilled_at: MonoTime::ZERO,
             spent: 0,
-            told: 0,
-            untold_requests: 0,
-            returns_until: MonoTime::ZERO,
-            heard: BTreeMap::new(),
+            reported: 0,
+            unreported_requests: 0,
+            last_retry_at: MonoTime::ZERO,
+            peer_totals: BTreeMap::new(),
         }
     }
 
@@ -76,34 +77,37 @@
         self.limit = limit;
     }
 
-    /// Adds what has come in since the last time, for a part of the limit.
-    pub(super) fn fill(&mut self, share: f64, now: MonoTime) {
-        let passed = now.saturating_sub(self.filled_at).as_secs_f64();
-        self.filled_at = now;
+    /// Refills the bucket for the time since the last refill. `share` is this relay's part of the
+    /// limit.
+    pub(super) fn refill(&mut self, share: f64, now: MonoTime) {
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
         let filled = self.level + self.limit.rate * share * passed;
         self.level = filled.min(self.limit.burst * share);
     }
 
-    /// Whether this relay may spend so much more of an allowance of its own.
+    /// Returns whether a cost fits into what this relay alone may spend in total; `None` is
+    /// unlimited.
     pub(super) fn is_within(&self, cost: u64, allowance: Option<f64>) -> bool {
         allowance.is_none_or(|allowed| self.spent as f64 + cost as f64 <= allowed)
     }
 
-    /// Takes over a level that another relay knows.
-    pub(super) fn lower(&mut self, level: f64) {
+    /// Lowers the level to one that another relay reported.
+    pub(super) fn lower_level(&mut self, level: f64) {
         self.level = self.level.min(level);
     }
 
-    /// Takes what a lost share of the limit brought in since those who are missing were last heard.
-    pub(super) fn take_missed(&mut self, share: f64, lost: f64, now: MonoTime) {
-        self.fill(share, now);
+    /// Deducts what `lost`, the share of the relays that have just been lost, refilled since they
+    /// were last heard from.
+    pub(super) fn deduct_lost_share(&mut self, share: f64, lost: f64, now: MonoTime) {
+        self.refill(share, now);
         self.level -= self.limit.rate * lost * HEARD_LIFETIME.as_secs_f64();
     }
 
-    /// Takes the cost of a request if there is room for it; tells whether there was.
+    /// Deducts the cost of a request and returns `true` if the level allows it.
     pub(super) fn spend(&mut self, cost: u64, reserve: f64, share: f64) -> bool {
         let burst = self.limit.burst * share;
-        // One that is larger than the whole burst may go when nothing else was spent.
+        // A request larger than the whole burst may run when nothing else has been spent.
         let needed = (cost as f64).min(burst);
         let reserve = reserve * share;
         if self.level < needed.max((needed + reserve).min(burst)) {
@@ -111,89 +115,94 @@
         }
         self.level -= cost as f64;
         self.spent = self.spent.saturating_add_unsigned(cost);
-        self.untold_requests += 1;
+        self.unreported_requests += 1;
         true
     }
 
-    pub(super) fn give_back(&mut self, cost: u64) {
+    pub(super) fn refund(&mut self, cost: u64) {
         self.level += cost as f64;
         self.spent = self.spent.saturating_sub_unsigned(cost);
     }
 
-    /// When a refused request may come back. Callers that are told after it come later, as each needs
-    /// room of its own.
-    pub(super) fn come_back(&mut self, cost: u64, share: f64, now: MonoTime) -> Duration {
+    /// Returns the time after which a rejected request may retry. Each further rejected caller gets
+    /// a later time, as each needs room of its own.
+    pub(super) fn schedule_retry(&mut self, cost: u64, share: f64, now: MonoTime) -> Duration {
         let rate = (self.limit.rate * share).max(f64::MIN_POSITIVE);
-        let longest = now + LONGEST_RETURN;
+        let latest = now + MAX_RETRY_AFTER;
         let time = |units: f64| {
-            Duration::try_from_secs_f64((units / rate).max(0.0)).unwrap_or(LONGEST_RETURN)
+            Duration::try_from_secs_f64((units / rate).max(0.0)).unwrap_or(MAX_RETRY_AFTER)
         };
-        let room_at = now + time(-self.level).min(LONGEST_RETURN);
-        let returns_at = self.returns_until.max(room_at) + time(cost as f64).min(LONGEST_RETURN);
-        self.returns_until = returns_at.min(longest);
-        self.returns_until - now
+        let room_at = now + time(-self.level).min(MAX_RETRY_AFTER);
+        let retry_at = self.last_retry_at.max(room_at) + time(cost as f64).min(MAX_RETRY_AFTER);
+        self.last_retry_at = retry_at.min(latest);
+        self.last_retry_at - now
     }
 
-    /// Takes another relay's total. Of a relay that is heard for the first time, or again after a
-    /// silence, all counts if it has just started, and nothing otherwise.
-    pub(super) fn hear(
+    /// Records the total that another relay reported and deducts the increase. If this is the
+    /// relay's first report, or the first after a silence, the whole total counts when the relay
+    /// has just started, and nothing otherwise.
+    pub(super) fn record_total(
         &mut self,
         host: &str,
         incarnation: Incarnation,
         total: i64,
-        is_young: bool,
+        has_just_started: bool,
         lowest: f64,
     ) {
-        let before = match self.heard.get(host) {
-            Some(heard) if heard.incarnation == incarnation => heard.total,
+        let before = match self.peer_totals.get(host) {
+            Some(peer) if peer.incarnation == incarnation => peer.total,
             Some(_) => 0,
-            None if is_young => 0,
+            None if has_just_started => 0,
             None => total,
         };
         let spent = total.saturating_sub(before);
         self.level = (self.level - spent as f64).max(lowest);
-        self.heard.insert(host.to_string(), HeardTotal { incarnation, total });
+        self.peer_totals.insert(host.to_string(), PeerTotal { incarnation, total });
     }
 
     pub(super) fn forget(&mut self, host: &str) {
-        self.heard.remove(host);
+        self.peer_totals.remove(host);
     }
 
-    fn untold(&self) -> f64 {
-        self.spent.abs_diff(self.told) as f64
+    fn unreported(&self) -> f64 {
+        self.spent.abs_diff(self.reported) as f64
     }
 
-    /// Units that one of so many relays may have spent without telling.
-    fn untold_limit(&self, rules: &LimitRules, relays: usize) -> f64 {
-        rules.slack(&self.limit) * UNTOLD_SHARE / relays.max(1) as f64
+    /// Returns the units that each of `relays` relays may have spent without a report.
+    fn unreported_limit(&self, rules: &LimitRules, relays: usize) -> f64 {
+        rules.slack(&self.limit) * UNREPORTED_SHARE / relays.max(1) as f64
     }
 
-    /// Whether others have to know before the next beacon. One request alone is never that: in a fleet
-    /// with more relays than a workspace has requests a second, each of them would be.
+    /// Returns whether the other relays have to be informed before the next heartbeat. A single
+    /// request is never urgent: in a fleet with more relays than the workspace has requests a
+    /// second, every request would be.
     pub(super) fn is_urgent(&self, rules: &LimitRules, relays: usize) -> bool {
-        relays > 1 && self.untold_requests > 1 && self.untold() >= self.untold_limit(rules, relays)
+        relays > 1
+            && self.unreported_requests > 1
+            && self.unreported() >= self.unreported_limit(rules, relays)
     }
 
-    /// The total to tell others, if it is worth it.
-    pub(super) fn tell(&mut self, rules: &LimitRules, relays: usize) -> Option<i64> {
-        if self.spent == self.told
-            || self.untold() < self.untold_limit(rules, relays) * BEACON_SHARE
+    /// Returns the total to report with a heartbeat or an urgent message; `None` if it has changed
+    /// too little.
+    pub(super) fn report_total(&mut self, rules: &LimitRules, relays: usize) -> Option<i64> {
+        if self.spent == self.reported
+            || self.unreported() < self.unreported_limit(rules, relays) * HEARTBEAT_SHARE
         {
             return None;
         }
-        self.told = self.spent;
-        self.untold_requests = 0;
+        self.reported = self.spent;
+        self.unreported_requests = 0;
         Some(self.spent)
     }
 
-    /// Units that the workspace may still use, as far as is known here.
+    /// Returns the units that the workspace may still use, as far as this relay knows.
     ///
     /// See [`LimitAccount`] for an example.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Units spent here since the start of the process.
+    /// Returns the units spent at this relay since the start of the process.
     ///
     /// See [`LimitAccount`] for an example.
     pub fn spent(&self) -> i64 {
--- a/quillcove_core/src/access/ledger.rs
+++ b/quillcove_core/src/access/ledger.rs
@@ -1,9 +1,10 @@
-//! The accounts of one relay: what workspaces may still use, counted over all relays with no store and no
+//! The usage accounts of one relay. Limits apply to all relays together, without a store or a
 //! coordinator.
 //!
-//! Each relay keeps an account for each workspace (see [`super::account`]) and tells the others what it
-//! has spent, as a total of which only the difference to the last one counts, so that a lost message is
-//! made up for by the next. How soon they hear of it is the rule of the policy.
+//! Each relay holds an account for each workspace (see [`super::account`]) and reports its spending
+//! to the other relays as a running total. Receivers count only the difference from the previous
+//! total, so the next message makes up for a lost one. The [`LimitRule`] determines how soon the
+//! others are informed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,53 +15,58 @@
 use super::workspace::WorkspaceRecord;
 use crate::ids::{MonoTime, WorkspaceName};
 
-/// Part of what a new account holds that is kept for requests of each better rank, so that of a workspace
-/// above its limit the least urgent requests are refused first.
+/// Share of a new account's level that is reserved per rank for more urgent requests, so that a
+/// workspace above its limit has its least urgent requests rejected first.
 const RANK_RESERVE: f64 = 0.1;
 
-/// Ranks that are told apart in this.
-const RANKS: u8 = 2;
+/// Highest rank that the reserve distinguishes.
+const MAX_RANK: u8 = 2;
 
-/// Relays that a new process takes the fleet for until it has heard it. In a fleet that is larger, a workspace that
-/// floods all of it while all start again may pass its limit for [`HEARD_TIME`].
-const FLEET_GUESS: usize = 32;
+/// Fleet size that a new process assumes until it has heard from the other relays. In a larger
+/// fleet that restarts all at once, a workspace that floods all relays may exceed its limit for
+/// [`DISCOVERY_QUIET_TIME`].
+const ASSUMED_FLEET_SIZE: usize = 32;
 
-/// Time after which a relay that has heard no other is taken for the only one: three beacons, and some.
-const SETTLE_TIME: Duration = Duration::from_millis(1600);
+/// Time after which a relay that has heard from no other assumes that it is alone: a little more
+/// than three heartbeats.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// Time after the last new relay was heard until all are taken for heard: relays that start at once greet each other,
-/// and callers are refused until then.
-const HEARD_TIME: Duration = Duration::from_millis(150);
+/// Time without a new relay after which the fleet is taken as complete: relays that start together
+/// greet each other at once. Callers above the startup allowance are rejected until then.
+const DISCOVERY_QUIET_TIME: Duration = Duration::from_millis(150);
 
-/// Time for which a relay that was heard is taken to hear what is spent: two beacons, and some. A fleet that
-/// is cut in three while a workspace begins to flood it passes the limit by 0.19 of what the users let
-/// pass with three beacons.
+/// Time after its last message for which a relay is assumed to receive reports: a little more than
+/// two heartbeats. With three heartbeats, a fleet that is cut in three while a workspace begins to
+/// flood it exceeds the limit by 0.19 of the overshoot allowance.
 pub const HEARD_LIFETIME: Duration = Duration::from_millis(1050);
 
-/// Part of the slack of a limit that a process which has lost its accounts may take as still unspent,
-/// when no relay is left that knows better.
-const START_SHARE: f64 = 0.4;
+/// Share of the overshoot allowance that a process without accounts takes as unspent when no other
+/// relay knows the real level.
+const INITIAL_SHARE: f64 = 0.4;
 
-/// Age of a process up to which all that it has spent is news to others.
-const YOUNG_TIME: Duration = Duration::from_millis(2500);
+/// Uptime of a relay up to which its whole total counts as not yet known to other relays.
+const RECENT_START_AGE: Duration = Duration::from_millis(2500);
 
-/// Time between two prompt messages, for each relay of the fleet: what prompt messages cost a relay does
-/// not grow with the fleet. With 25 relays it may send ten a second, with 125 and more only the beacon.
-const PROMPT_PACE: Duration = Duration::from_millis(4);
+/// Interval between two urgent reports, for each relay of the fleet, so that the cost of urgent
+/// reports for a relay does not grow with the fleet. With 25 relays, one relay may send ten a
+/// second; with 125 and more, only heartbeats.
+const URGENT_REPORT_INTERVAL: Duration = Duration::from_millis(4);
 
-/// The relays as far as shares of limits go.
+/// Number of relays among which limits are shared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Relays that are heard now, this one included.
+    /// Relays that are currently reachable, this one included.
     pub heard: usize,
-    /// Most that were heard at once. Those that are missing may be cut off and go on with their part.
+    /// Highest number of relays that were reachable at once. Those now missing may be cut off and
+    /// still spend their share.
     pub most: usize,
 }
 
 impl FleetSize {
-    /// Part of a limit that the relays which hear each other may use: theirs, and of those who are missing
-    /// half of it when they are fewer. Missing relays are mostly dead, and their callers come to the others;
-    /// if they are cut off instead, each side is a minority or they use a quarter too much together at most.
+    /// Returns the share of a limit that the reachable relays may use: their own part, and half of
+    /// the part of the missing relays if those are the minority. Missing relays have mostly failed,
+    /// and their callers move to the others. If the missing relays are cut off instead, either each
+    /// side is a minority or both sides together exceed the limit by a quarter at most.
     pub(crate) fn share(self) -> f64 {
         let most = self.most.max(self.heard).max(1) as f64;
         let own = self.heard as f64 / most;
@@ -68,7 +74,7 @@
     }
 }
 
-/// The accounts of one relay.
+/// The usage accounts of one relay.
 ///
 /// ```
 /// use std::time::Duration;
@@ -88,34 +94,34 @@
 pub struct LimitLedger {
     rules: LimitRules,
     fleet: FleetSize,
-    /// When the fleet last grew.
-    grown_at: Option<MonoTime>,
-    /// Whether the fleet was found to be known.
-    is_settled: bool,
-    /// What workspaces may still use by the words of relays that were there before this one.
-    first_levels: BTreeMap<WorkspaceName, f64>,
+    /// When the number of reachable relays last grew.
+    fleet_grown_at: Option<MonoTime>,
+    /// Whether the fleet is known; never reset.
+    is_fleet_known: bool,
+    /// Levels reported by relays that were running before this one started.
+    peer_levels: BTreeMap<WorkspaceName, f64>,
     accounts: BTreeMap<WorkspaceName, LimitAccount>,
-    /// When others were last told.
-    told_at: MonoTime,
+    /// When the other relays were last informed.
+    reported_at: MonoTime,
 }
 
 impl LimitLedger {
-    /// A ledger of a process that starts.
+    /// Creates the ledger of a process that starts.
     ///
     /// See [`LimitLedger`] for an example.
     pub fn new(rules: LimitRules) -> Self {
         Self {
             rules,
             fleet: FleetSize { heard: 1, most: 1 },
-            grown_at: None,
-            is_settled: !rules.has_peers,
-            first_levels: BTreeMap::new(),
+            fleet_grown_at: None,
+            is_fleet_known: !rules.has_peers,
+            peer_levels: BTreeMap::new(),
             accounts: BTreeMap::new(),
-            told_at: MonoTime::ZERO,
+            reported_at: MonoTime::ZERO,
         }
     }
 
-    /// Takes over changed rules.
+    /// Replaces the rules.
     ///
     /// ```
     /// use quillcove_core::access::ledger::LimitLedger;
@@ -127,7 +133,7 @@
         self.rules = rules;
     }
 
-    /// Takes what is known of the fleet.
+    /// Updates the number of relays.
     ///
     /// ```
     /// use std::time::Duration;
@@ -139,24 +145,24 @@
     /// ```
     pub fn set_fleet(&mut self, fleet: FleetSize, now: MonoTime) {
         if fleet.heard > self.fleet.heard {
-            self.grown_at = Some(now);
+            self.fleet_grown_at = Some(now);
         }
         let before = self.share();
         self.fleet = fleet;
         let lost = before - self.share();
         if lost > 0.0 {
-            // Until now, those who are missing were taken to tell what they spend. They went on with their
-            // part, and this side took it as well.
-            let spent = |account: &mut LimitAccount| account.take_missed(before, lost, now);
-            self.accounts.values_mut().for_each(spent);
+            // Until now the missing relays were assumed to report their spending. In fact they went
+            // on with their own share while this side spent that share too.
+            let deduct = |account: &mut LimitAccount| account.deduct_lost_share(before, lost, now);
+            self.accounts.values_mut().for_each(deduct);
         }
-        // Later changes of the fleet are those of a fleet that is known.
-        let is_heard = self.grown_at.is_some_and(|at| now >= at + HEARD_TIME);
-        self.is_settled |= is_heard || now >= SETTLE_TIME;
+        // The fleet stays known: later changes of its size do not start a new settling period.
+        let is_discovered = self.fleet_grown_at.is_some_and(|at| now >= at + DISCOVERY_QUIET_TIME);
+        self.is_fleet_known |= is_discovered || now >= DISCOVERY_TIMEOUT;
     }
 
-    /// Forgets what was heard of a relay that is no longer there. When it is heard again, only what it
-    /// spends from then on counts: meanwhile its part was left to it.
+    /// Removes the totals of a relay that is gone. If it is heard from again, only its spending
+    /// from then on counts, because its share was left to it in the meantime.
     ///
     /// ```
     /// use quillcove_core::access::ledger::LimitLedger;
@@ -168,7 +174,7 @@
         self.accounts.values_mut().for_each(|account| account.forget(host));
     }
 
-    /// Part of each limit on which this relay's accounts run.
+    /// Returns the part of each limit that refills this relay's accounts.
     fn share(&self) -> f64 {
         match self.rules.rule {
             LimitRule::Even => 1.0 / self.fleet.most.max(1) as f64,
@@ -176,36 +182,38 @@
         }
     }
 
-    /// Units that a process which knows nothing of a workspace's use takes as unspent.
-    fn start_level(&self, limit: &UseLimit) -> f64 {
-        limit.burst.min(self.rules.slack(limit) * START_SHARE)
+    /// Returns the units that a process takes as unspent when it knows nothing of a workspace's
+    /// usage.
+    fn initial_level(&self, limit: &UseLimit) -> f64 {
+        limit.burst.min(self.rules.slack(limit) * INITIAL_SHARE)
     }
 
-    /// Units that this relay may have spent while it does not know the fleet; `None` once it does.
-    fn own_allowance(&self, limit: &UseLimit, now: MonoTime) -> Option<f64> {
-        let relays = FLEET_GUESS.max(self.fleet.heard) as f64;
-        let allowed = self.start_level(limit) + limit.rate * now.as_secs_f64();
-        (!self.is_settled && now < SETTLE_TIME).then(|| allowed / relays)
+    /// Returns the units that this relay may have spent while the fleet is not known; `None` once
+    /// it is.
+    fn startup_allowance(&self, limit: &UseLimit, now: MonoTime) -> Option<f64> {
+        let relays = ASSUMED_FLEET_SIZE.max(self.fleet.heard) as f64;
+        let allowed = self.initial_level(limit) + limit.rate * now.as_secs_f64();
+        (!self.is_fleet_known && now < DISCOVERY_TIMEOUT).then(|| allowed / relays)
     }
 
-    /// The account of a workspace. A new one holds what relays that were there before this one say, or
-    /// what was left at the start and has come in since.
+    /// Returns the account of a workspace, refilled. A new account starts with the level reported
+    /// by relays that were running before this one, but not above the initial level.
     fn account(&mut self, name: &str, limit: UseLimit, now: MonoTime) -> &mut LimitAccount {
         let share = self.share();
-        let first = self.start_level(&limit);
-        let first = self.first_levels.get(name).map_or(first, |told| told.min(first));
+        let first = self.initial_level(&limit);
+        let first = self.peer_levels.get(name).map_or(first, |level| level.min(first));
         let account = self.accounts.entry(name.to_string());
         let account = account.or_insert_with(|| LimitAccount::new(limit, first));
         account.set_limit(limit);
-        account.fill(share, now);
+        account.refill(share, now);
         account
     }
 
-    /// Charges a request to its workspace; `None` where that has no limit.
+    /// Charges a request to its workspace; returns `None` if the workspace has no limit.
     ///
     /// # Errors
     ///
-    /// The time after which there will be room, when there is none now.
+    /// The time after which the limit will have room, if it has none now.
     ///
     /// See [`LimitLedger`] for an example.
     pub fn charge(
@@ -220,20 +228,21 @@
         let cost = limit.unit.cost_of(claim.tokens);
         let share = self.share();
         let heard = self.fleet.heard.max(1);
-        let reserve = self.start_level(&limit) * RANK_RESERVE * f64::from(claim.rank.min(RANKS));
-        let allowance = self.own_allowance(&limit, now);
+        let reserve =
+            self.initial_level(&limit) * RANK_RESERVE * f64::from(claim.rank.min(MAX_RANK));
+        let allowance = self.startup_allowance(&limit, now);
         let account = self.account(&workspace.name, limit, now);
         if !account.is_within(cost, allowance) {
-            return Err(HEARD_TIME);
+            return Err(DISCOVERY_QUIET_TIME);
         }
         if account.spend(cost, reserve, share) {
             return Ok(Some(UseCharge { workspace: workspace.name.clone(), cost }));
         }
-        // Each relay calls its refused callers back at its even part of the rate.
-        Err(account.come_back(cost, share / heard as f64, now))
+        // Each relay schedules the retries of its rejected callers at its even share of the rate.
+        Err(account.schedule_retry(cost, share / heard as f64, now))
     }
 
-    /// Gives back what a request was charged with that did not run.
+    /// Refunds the charge of a request that did not run.
     ///
     /// ```
     /// use quillcove_core::access::ledger::LimitLedger;
@@ -244,12 +253,12 @@
     /// ```
     pub fn give_back(&mut self, charge: &UseCharge) {
         if let Some(account) = self.accounts.get_mut(&charge.workspace) {
-            account.give_back(charge.cost);
+            account.refund(charge.cost);
         }
     }
 
-    /// Takes what another relay has spent. Of workspaces that were not met here yet, `limit_of` tells the
-    /// limit.
+    /// Records the spending that another relay reports. `limit_of` returns the limit of a workspace
+    /// that has no account here yet.
     ///
     /// ```
     /// use std::time::Duration;
@@ -259,48 +268,54 @@
     ///
     /// let uptime = Duration::from_secs(1);
     /// let (spent, levels) = (Vec::new(), Vec::new());
-    /// let told = SpendBeacon { host: "front-2".into(), incarnation: 1, uptime, spent, levels };
-    /// LimitLedger::new(LimitRules::default()).take_told(&told, |_| None, Duration::ZERO);
+    /// let report = SpendBeacon { host: "front-2".into(), incarnation: 1, uptime, spent, levels };
+    /// LimitLedger::new(LimitRules::default()).take_told(&report, |_| None, Duration::ZERO);
     /// ```
     pub fn take_told(
         &mut self,
-        told: &SpendBeacon,
+        report: &SpendBeacon,
         limit_of: impl Fn(&str) -> Option<UseLimit>,
         now: MonoTime,
     ) {
         if self.rules.rule == LimitRule::Even {
             return;
         }
-        let is_young = told.uptime < YOUNG_TIME;
-        self.take_levels(told, now);
+        let has_just_started = report.uptime < RECENT_START_AGE;
+        self.adopt_levels(report, now);
         let rules = self.rules;
-        for spent in &told.spent {
+        for spent in &report.spent {
             let Some(limit) = limit_of(&spent.workspace) else {
                 continue;
             };
             let account = self.account(&spent.workspace, limit, now);
             let lowest = -rules.slack(&limit);
-            account.hear(&told.host, told.incarnation, spent.total, is_young, lowest);
+            account.record_total(
+                &report.host,
+                report.incarnation,
+                spent.total,
+                has_just_started,
+                lowest,
+            );
         }
     }
 
-    /// Takes the levels of a relay that was there before this one.
-    fn take_levels(&mut self, told: &SpendBeacon, now: MonoTime) {
-        if told.uptime <= now {
+    /// Adopts the levels reported by a relay that was running before this one started.
+    fn adopt_levels(&mut self, report: &SpendBeacon, now: MonoTime) {
+        if report.uptime <= now {
             return;
         }
-        for level in &told.levels {
+        for level in &report.levels {
             let units = level.units as f64;
-            let first = self.first_levels.entry(level.workspace.clone()).or_insert(units);
+            let first = self.peer_levels.entry(level.workspace.clone()).or_insert(units);
             *first = first.min(units);
             if let Some(account) = self.accounts.get_mut(&level.workspace) {
-                account.lower(units);
+                account.lower_level(units);
             }
         }
     }
 
-    /// What all workspaces may still use, for a relay that has just been heard for the first time; nothing
-    /// from one that does not know it itself.
+    /// Returns the levels of all workspaces, to be sent to a relay that has just been discovered.
+    /// Empty while this process has just started and does not know them itself.
     ///
     /// ```
     /// use std::time::Duration;
@@ -310,19 +325,19 @@
     /// assert!(LimitLedger::new(LimitRules::default()).levels(Duration::ZERO).is_empty());
     /// ```
     pub fn levels(&mut self, now: MonoTime) -> Vec<WorkspaceLevel> {
-        if now < YOUNG_TIME || self.rules.rule == LimitRule::Even {
+        if now < RECENT_START_AGE || self.rules.rule == LimitRule::Even {
             return Vec::new();
         }
         let share = self.share();
         let level = |(name, account): (&WorkspaceName, &mut LimitAccount)| {
-            account.fill(share, now);
+            account.refill(share, now);
             WorkspaceLevel { workspace: name.clone(), units: account.level() as i64 }
         };
         self.accounts.iter_mut().map(level).collect()
     }
 
-    /// What others are to be told now. A beacon tells all that is worth telling; between beacons a relay
-    /// tells at once what it has spent much of.
+    /// Returns the totals to report now. With a heartbeat these are all that have changed enough;
+    /// between heartbeats there are any only if some spending is urgent.
     ///
     /// ```
     /// use std::time::Duration;
@@ -332,32 +347,32 @@
     /// let mut ledger = LimitLedger::new(LimitRules::default());
     /// assert!(ledger.tell(true, Duration::ZERO).is_empty());
     /// ```
-    pub fn tell(&mut self, is_beacon: bool, now: MonoTime) -> Vec<SpentTotal> {
-        if self.rules.rule == LimitRule::Even || !(is_beacon || self.is_urgent(now)) {
+    pub fn tell(&mut self, is_heartbeat: bool, now: MonoTime) -> Vec<SpentTotal> {
+        if self.rules.rule == LimitRule::Even || !(is_heartbeat || self.is_urgent(now)) {
             return Vec::new();
         }
-        self.told_at = now;
+        self.reported_at = now;
         let (rules, relays) = (self.rules, self.fleet.heard);
         let mut spent = Vec::new();
         for (name, account) in &mut self.accounts {
-            if let Some(total) = account.tell(&rules, relays) {
+            if let Some(total) = account.report_total(&rules, relays) {
                 spent.push(SpentTotal { workspace: name.clone(), total });
             }
         }
         spent
     }
 
-    /// Whether something was spent that others have to know before the next beacon.
+    /// Returns whether some spending has to be reported before the next heartbeat.
     fn is_urgent(&self, now: MonoTime) -> bool {
-        let pace = PROMPT_PACE * self.fleet.heard as u32;
-        let is_paced = now.saturating_sub(self.told_at) >= pace;
+        let interval = URGENT_REPORT_INTERVAL * self.fleet.heard as u32;
+        let is_interval_over = now.saturating_sub(self.reported_at) >= interval;
         let (rules, relays) = (&self.rules, self.fleet.heard);
         self.rules.rule == LimitRule::Prompt
-            && is_paced
+            && is_interval_over
             && self.accounts.values().any(|account| account.is_urgent(rules, relays))
     }
 
-    /// The account of a workspace that was met here.
+    /// Returns the account of a workspace, if this relay has one.
     ///
     /// ```
     /// use quillcove_core::access::ledger::LimitLedger;
--- a/quillcove_core/src/access/limit.rs
+++ b/quillcove_core/src/access/limit.rs
@@ -1,7 +1,7 @@
-//! What a workspace may use, and how the users judge it.
+//! Usage limits of workspaces, and the rules by which they are judged.
 //!
-//! The users sum it over all relays in sliding windows and let it be passed by a ratio and a number of
-//! units. [`super::ledger`] keeps to it with no store and no coordinator.
+//! A limit applies to the sum over all relays in sliding windows and may be exceeded by a ratio and
+//! a number of units. [`super::ledger`] enforces it without a store or a coordinator.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 
 use crate::ids::WorkspaceName;
 
-/// What a limit counts.
+/// The unit that a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UseUnit {
     /// Requests.
     Requests,
-    /// Tokens of prompt and answer; a request that does not name them counts as a fixed number.
+    /// Tokens of prompt and answer.
     Tokens {
-        /// That number.
+        /// Tokens charged for a request that does not state its number of tokens.
         plain: u64,
     },
 }
 
 impl UseUnit {
-    /// What a request of so many tokens counts.
+    /// Returns the cost of a request with `tokens` tokens.
     ///
     /// ```
     /// use quillcove_core::access::limit::UseUnit;
@@ -39,46 +39,46 @@
     }
 }
 
-/// What a workspace may use.
+/// Usage limit of a workspace, as a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UseLimit {
-    /// What it counts.
+    /// The unit of `rate` and `burst`.
     pub unit: UseUnit,
     /// Units a second.
     pub rate: f64,
-    /// Units at once beyond that.
+    /// Bucket size: units that may be used at once.
     pub burst: f64,
 }
 
 /// How the relays share a workspace's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitRule {
-    /// Each tells what it spent: with its beacon, and at once when that is much.
+    /// Each relay reports its spending with its heartbeat, and immediately when it is large.
     #[default]
     Prompt,
-    /// Each tells what it spent with its beacon only.
+    /// Each relay reports its spending with its heartbeat only.
     Beacons,
-    /// Each has an even share, and tells nothing.
+    /// Each relay enforces an equal share and reports nothing.
     Even,
 }
 
-/// How the users judge a limit.
+/// Rules by which a limit is judged and shared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitRules {
-    /// Span over which use is summed.
+    /// Sliding window over which usage is summed.
     pub window: Duration,
-    /// Share of what is allowed in a window by which it may be passed.
+    /// Ratio of the units allowed in a window by which the limit may be exceeded.
     pub overshoot: f64,
-    /// Units by which it may be passed besides.
+    /// Units by which it may be exceeded in addition.
     pub tolerance: f64,
-    /// How the relays share it.
+    /// How the relays share the limit.
     pub rule: LimitRule,
-    /// Whether there may be other relays.
+    /// Whether other relays may exist.
     pub has_peers: bool,
 }
 
 impl Default for LimitRules {
-    /// A window of the users' deployments, with no tolerance beside their ratio.
+    /// A typical deployment: a window of 8 s, and no tolerance beside the ratio.
     fn default() -> Self {
         let window = Duration::from_secs(8);
         Self {
@@ -92,7 +92,7 @@
 }
 
 impl LimitRules {
-    /// Units by which a limit may be passed in one window.
+    /// Returns the overshoot allowance: the units by which a limit may be exceeded in one window.
     ///
     /// ```
     /// use quillcove_core::access::limit::{LimitRules, UseLimit, UseUnit};
@@ -105,19 +105,19 @@
     }
 }
 
-/// What a request asks of its workspace's limit.
+/// What a request claims from its workspace's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UseClaim {
-    /// Tokens of prompt and answer, when it says so.
+    /// Tokens of prompt and answer, if the request states them.
     pub tokens: Option<u64>,
-    /// Rank of its route, 0 first.
+    /// Rank of its route; 0 is the most urgent.
     pub rank: u8,
 }
 
-/// What a request was charged with, to be given back if it does not run.
+/// What a request was charged, refunded if it does not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UseCharge {
-    /// The workspace.
+    /// The workspace that was charged.
     pub workspace: WorkspaceName,
     /// Units.
     pub cost: u64,
--- a/quillcove_core/src/access/spending.rs
+++ b/quillcove_core/src/access/spending.rs
@@ -1,4 +1,4 @@
-//! What relays tell each other of what workspaces have used.
+//! Reports of workspace usage between relays.
 
 use std::time::Duration;
 
@@ -11,31 +11,31 @@
 pub struct SpentTotal {
     /// The workspace.
     pub workspace: WorkspaceName,
-    /// Units since the start of the process; falls when something is given back.
+    /// Units since the start of the process; decreases when a charge is refunded.
     pub total: i64,
 }
 
-/// What a relay tells the others of what it has spent.
+/// Report of a relay's spending to the other relays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpendBeacon {
-    /// Host of the relay.
+    /// Host of the sending relay.
     pub host: HostId,
-    /// Random number of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Time since its start.
+    /// Time since the start of its process.
     pub uptime: Duration,
-    /// Workspaces of which something is new.
+    /// Totals of workspaces whose spending has changed.
     pub spent: Vec<SpentTotal>,
-    /// What all workspaces may still use, for a relay that is new to the sender; empty otherwise, and from
-    /// one that has just started itself.
+    /// Levels of all workspaces, for a relay that the sender has just discovered. Otherwise empty,
+    /// and also empty if the sender has only just started.
     pub levels: Vec<WorkspaceLevel>,
 }
 
-/// What a workspace may still use, as far as a relay knows.
+/// What a workspace may still use, as far as the sending relay knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkspaceLevel {
     /// The workspace.
     pub workspace: WorkspaceName,
-    /// Units; below zero when more was used.
+    /// Units; negative after an overshoot.
     pub units: i64,
 }
