--- a/quillcove_core/src/access/grant.rs
+++ b/quillcove_core/src/access/grant.rs
@@ -1,4 +1,4 @@
-//! Whether a request may go on: its key, the age of what is known of keys, and its workspace's limit.
+//! Admission of a request by its caller key, the age of the known keys, and its workspace's limit.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 use super::workspace::WorkspaceRecord;
 use crate::verdict::{RefusalReason, RunVerdict, WorkRefusal};
 
-/// The right of a request to run, by the key that it came with.
+/// Permission of a request to run, granted for its caller key.
 #[derive(Clone, Debug)]
 pub struct AccessGrant {
-    /// The workspace that held the key when the request came.
+    /// The workspace that held the key when the request arrived.
     pub workspace: Arc<WorkspaceRecord>,
-    /// The key, to be looked up again while the request waits.
+    /// The caller key, which is looked up again while the request waits.
     pub key: KeyDigest,
-    /// What the request was charged with; `None` in a workspace without a limit.
+    /// The charge to the workspace's limit; `None` if the workspace has no limit.
     pub charge: Option<UseCharge>,
 }
 
-/// Why a request is not let in.
+/// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessRefusal {
-    /// It needs a key and has none, or one that no workspace holds.
+    /// The request needs a key and has none, or one that no workspace holds.
     KeyUnknown,
-    /// What is known of keys is too old to tell which of them are valid.
+    /// The known keys are too old to tell which of them are still valid.
     KnowledgeOld {
-        /// When fresh knowledge is expected.
+        /// Time after which the keys are expected to be up to date again.
         come_back: Duration,
     },
-    /// Its workspace has used what it may.
+    /// The workspace has used up its limit.
     LimitReached {
-        /// When there is room again.
+        /// Time after which the limit has room again.
         come_back: Duration,
     },
 }
--- a/quillcove_core/src/access/key.rs
+++ b/quillcove_core/src/access/key.rs
@@ -1,16 +1,16 @@
-//! Keys of callers. Only their digests are kept, compared and passed on.
+//! Caller keys. Only their digests are stored, compared and passed on.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Put before each key, so that a digest of another purpose is never one of a key.
+/// Prefix that separates digests of keys from digests made for other purposes.
 const DIGEST_DOMAIN: &[u8] = b"quillcove caller key\0";
 
-/// The digest of a caller's key. The key itself is nowhere in memory once its request's head has been
-/// read, and a digest tells nothing of it: keys are drawn at random by the operators. A look-up compares
-/// digests, so that its time does not tell how much of a key is right.
+/// The digest of a caller key. The key itself is not held in memory after the head of its request
+/// has been read. A digest does not reveal the key, since operators generate keys at random.
+/// Look-ups compare digests, so their duration does not reveal how much of a key is right.
 ///
 /// ```
 /// use quillcove_core::access::key::KeyDigest;
@@ -23,7 +23,7 @@
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     ///
     /// See [`KeyDigest`] for an example.
     pub fn of(key: &str) -> Self {
@@ -33,14 +33,14 @@
         Self(digest.finalize().into())
     }
 
-    /// Its bytes, to be part of another digest.
+    /// Returns the raw bytes, as input for another digest.
     pub(crate) fn to_bytes(self) -> [u8; 32] {
         self.0
     }
 }
 
 impl fmt::Debug for KeyDigest {
-    /// Nothing of a digest belongs into a log or a dump.
+    /// Hides the digest: no part of it belongs in a log or a dump.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
     }
--- a/quillcove_core/src/access/mod.rs
+++ b/quillcove_core/src/access/mod.rs
@@ -1,13 +1,13 @@
-//! Workspaces: who may send requests, with which rank, and how much.
+//! Workspaces: their caller keys, the rank of their requests, and their usage limits.
 //!
-//! - [`key`]: keys of callers, kept as digests.
-//! - [`workspace`]: the workspaces of one configuration, and whose key is whose.
-//! - [`grant`]: whether a request may go on, and why not.
-//! - [`right`]: how long a key may be taken as valid without news from the platform's store.
-//! - [`limit`]: what a workspace may use, and how the users judge it.
-//! - [`ledger`]: the accounts of one relay, which keep to limits over all relays.
-//! - [`account`]: what one relay believes of a workspace's use.
-//! - [`spending`]: what relays tell each other of it.
+//! - [`key`]: digests of caller keys.
+//! - [`workspace`]: the workspaces of one configuration, looked up by key.
+//! - [`grant`]: admission of a request, and the reasons to reject it.
+//! - [`right`]: how long keys stay valid without an update from the platform's store.
+//! - [`limit`]: usage limits, and the rules by which they are judged.
+//! - [`ledger`]: the usage accounts of one relay, which enforce limits over all relays.
+//! - [`account`]: the usage account of one workspace at one relay.
+//! - [`spending`]: reports of usage between relays.
 
 pub mod account;
 pub mod grant;
--- a/quillcove_core/src/access/right.rs
+++ b/quillcove_core/src/access/right.rs
@@ -1,44 +1,48 @@
-//! How long a key may be taken as valid without news from the platform's store.
+//! Key validity: how long keys stay valid without an update from the platform's store.
 //!
-//! A key that was taken away must stop working everywhere within the users' bound, also at a relay that
-//! was cut off, paused, or is told nothing. So the right that keys give has an age: the time since a
-//! moment of which it is proved that all that had been published by then is known here. The moment is
-//! the beginning of a reading of the store, not its end, and for what another relay tells the moment at
-//! which it was asked, less the age that it names: neither the way of a message nor a pause of a process
-//! makes an age younger than it is. The steady clock counts pauses.
+//! A revoked key must stop working everywhere within the configured bound, also at a relay that was
+//! cut off or suspended or receives no updates. A relay therefore tracks the age of its freshness
+//! proof: the time since the latest moment for which it is proved that everything published by then
+//! is known here.
+//!
+//! For a read of the store, that moment is the start of the read, not its end. For an answer of
+//! another relay, it is the time at which that relay was asked, less the age that the answer
+//! states. So neither network delay nor a suspension of the process makes a proof look fresher than
+//! it is. The steady clock counts suspensions.
 
 use std::time::Duration;
 
 use crate::ids::MonoTime;
 
-/// Part of the users' bound that is not used: clocks of two hosts may run a little apart, and a request
-/// is looked at some time after it was sent only on the safe side. 0.1 s of 5 s is a hundred times the
-/// drift of a computer's clock.
-const RIGHT_MARGIN: Duration = Duration::from_millis(100);
+/// Part of the bound that is left unused, because the clocks of two hosts may drift apart. 0.1 s of
+/// 5 s is a hundred times the drift of a computer's clock. The time between the sending of a
+/// request and its check needs no margin: it errs on the safe side.
+const VALIDITY_MARGIN: Duration = Duration::from_millis(100);
 
-/// Share of the bound that a watch of the store may take. A proof counts from the beginning of a watch, so
-/// that it is two watches old when the next one ends: at this share it stays younger than the share at
-/// which others are asked, and one watch that is never answered still leaves time for another call.
+/// Share of the bound that one watch call to the store may take. A proof counts from the start of a
+/// watch call, so it is two calls old when the next call ends. With this share it is still fresher
+/// than [`ASK_SHARE`] then, and a call that is never answered leaves time for another.
 const WATCH_SHARE: f64 = 0.2;
 
-/// Share of the bound at which a relay asks others for a younger proof. Half of it leaves time for
-/// several lost questions and then for a reading of the store of its own.
+/// Share of the bound at which a relay asks others for a fresher proof. The other half leaves time
+/// for several lost requests and then for a read of the store.
 const ASK_SHARE: f64 = 0.5;
 
-/// Share of the bound at which a relay that nobody gave a younger proof reads the store for itself.
+/// Share of the bound at which a relay that has received no fresher proof reads the store itself.
 const READ_SHARE: f64 = 0.6;
 
-/// Time between two questions for a younger proof: a lost one costs a tenth of the users' shortest bound.
+/// Interval between two requests for a fresher proof: a lost one costs a tenth of the shortest
+/// bound in use.
 const ASK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time after which a caller may come back that was refused as the knowledge is old: one question to
-/// another relay, or one reading of the store.
+/// Retry delay given to a caller that was rejected because the known keys are too old: time for one
+/// request to another relay, or for one read of the store.
 pub const RENEWAL_TIME: Duration = Duration::from_millis(250);
 
-/// What is to be done about the age of the right.
+/// How to renew the freshness proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RightStep {
-    /// Nothing: it is young, or there is no bound.
+    /// Do nothing: the proof is fresh enough, was requested a moment ago, or has no bound.
     Rest,
     /// Ask other relays.
     Ask,
@@ -46,7 +50,7 @@
     AskAndRead,
 }
 
-/// The users' bound for keys that were taken away.
+/// The bound on the time for which revoked keys may go on working.
 ///
 /// ```
 /// use std::time::Duration;
@@ -61,24 +65,24 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RightRules {
-    /// Longest time for which a key may go on working after it was taken away; `None` when the users
-    /// give no bound.
+    /// Longest time for which a key may go on working after it was revoked; `None` for no bound.
     pub bound: Option<Duration>,
 }
 
 impl RightRules {
-    /// Tells whether keys are still good at a moment, when all that was published before another moment
-    /// is known.
+    /// Returns whether keys are valid at `now`, if everything published before `proved_at` is
+    /// known.
     ///
     /// See [`RightRules`] for an example.
     pub fn holds(&self, proved_at: Option<MonoTime>, now: MonoTime) -> bool {
         let Some(bound) = self.bound else {
             return true;
         };
-        proved_at.is_some_and(|at| now.saturating_sub(at) < bound.saturating_sub(RIGHT_MARGIN))
+        proved_at.is_some_and(|at| now.saturating_sub(at) < bound.saturating_sub(VALIDITY_MARGIN))
     }
 
-    /// Longest watch of the store that keeps proofs young enough; `None` when there is no bound.
+    /// Returns the longest watch call to the store that keeps the proof fresh enough; `None` if
+    /// there is no bound.
     ///
     /// ```
     /// use std::time::Duration;
@@ -91,7 +95,7 @@
         self.bound.map(|bound| bound.mul_f64(WATCH_SHARE))
     }
 
-    /// What to do about the age of the right; `asked_at` is when others were asked last.
+    /// Returns how to renew the freshness proof; `asked_at` is when other relays were last asked.
     ///
     /// ```
     /// use std::time::Duration;
@@ -114,8 +118,8 @@
             return RightStep::Rest;
         };
         let age = proved_at.map_or(Duration::MAX, |at| now.saturating_sub(at));
-        let is_asked = asked_at.is_some_and(|at| now.saturating_sub(at) < ASK_INTERVAL);
-        if age < bound.mul_f64(ASK_SHARE) || is_asked {
+        let was_just_asked = asked_at.is_some_and(|at| now.saturating_sub(at) < ASK_INTERVAL);
+        if age < bound.mul_f64(ASK_SHARE) || was_just_asked {
             return RightStep::Rest;
         }
         match age < bound.mul_f64(READ_SHARE) {
--- a/quillcove_core/src/access/workspace.rs
+++ b/quillcove_core/src/access/workspace.rs
@@ -1,4 +1,4 @@
-//! The workspaces of one configuration, and whose key is whose.
+//! The workspaces of one configuration, looked up by caller key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,15 +12,16 @@
 /// One workspace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceRecord {
-    /// Name; upstreams are told it in place of the key.
+    /// Name, which upstreams receive in index of the key.
     pub name: WorkspaceName,
-    /// Rank of its requests, 0 first, in place of their routes' ranks; `None` leaves these.
+    /// Rank of its requests, which overrides the ranks of their routes; 0 is the most urgent.
+    /// `None` leaves the routes' ranks.
     pub priority: Option<u8>,
-    /// What it may use; `None` for as much as it likes.
+    /// Usage limit; `None` for no limit.
     pub limit: Option<UseLimit>,
 }
 
-/// The workspaces in force, found by their keys.
+/// The configured workspaces, indexed by key and by name.
 ///
 /// ```
 /// use quillcove_core::access::key::KeyDigest;
@@ -34,35 +35,36 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccessTable {
     workspaces: Vec<Arc<WorkspaceRecord>>,
-    /// Place of each key's workspace in the list. The map hashes with random numbers of this process.
+    /// Index into `workspaces` by key. The map's hash is seeded at random in each process.
     holders: HashMap<KeyDigest, usize>,
-    /// Place of each workspace in the list, by its name.
+    /// Index into `workspaces` by name.
     names: HashMap<WorkspaceName, usize>,
 }
 
 impl AccessTable {
-    /// A table of workspaces with their keys. A key that two of them name belongs to the later one.
+    /// Builds the table from workspaces and their keys. A key listed by two workspaces belongs to
+    /// the later one.
     ///
     /// See [`AccessTable`] for an example.
     pub fn new(workspaces: Vec<(WorkspaceRecord, Vec<KeyDigest>)>) -> Self {
         let mut table = Self::default();
         for (record, keys) in workspaces {
-            let place = table.workspaces.len();
-            table.names.insert(record.name.clone(), place);
+            let index = table.workspaces.len();
+            table.names.insert(record.name.clone(), index);
             table.workspaces.push(Arc::new(record));
-            table.holders.extend(keys.into_iter().map(|key| (key, place)));
+            table.holders.extend(keys.into_iter().map(|key| (key, index)));
         }
         table
     }
 
-    /// The workspace that holds a key.
+    /// Returns the workspace that holds a key.
     ///
     /// See [`AccessTable`] for an example.
     pub fn find(&self, key: &KeyDigest) -> Option<&Arc<WorkspaceRecord>> {
-        self.holders.get(key).and_then(|place| self.workspaces.get(*place))
+        self.holders.get(key).and_then(|index| self.workspaces.get(*index))
     }
 
-    /// A workspace by its name.
+    /// Returns a workspace by its name.
     ///
     /// ```
     /// use quillcove_core::access::workspace::AccessTable;
@@ -70,10 +72,10 @@
     /// assert!(AccessTable::default().workspace("w").is_none());
     /// ```
     pub fn workspace(&self, name: &str) -> Option<&Arc<WorkspaceRecord>> {
-        self.names.get(name).and_then(|place| self.workspaces.get(*place))
+        self.names.get(name).and_then(|index| self.workspaces.get(*index))
     }
 
-    /// All workspaces.
+    /// Returns all workspaces.
     ///
     /// ```
     /// use quillcove_core::access::workspace::AccessTable;
