--- a/quillcove_core/src/crash/book.rs
+++ b/quillcove_core/src/crash/book.rs
@@ -1,8 +1,10 @@
-//! Which requests were at replicas that ended, over all relays, and which of them is to blame.
+//! Crash records: which requests were in flight at replicas that exited, over all relays, and which
+//! of them are fatal.
 //!
-//! A replica ends with many requests at it, one of which may be the cause. That one is at every such end;
-//! the others are there by chance. So an end counts against a request only if no other request at it was
-//! at more ends, and a run to a good end clears the caller whose run it was.
+//! A replica exits with many requests in flight, one of which may be the cause. The fatal request
+//! is in flight at each of its exits; the others are there by chance. So an exit counts against a
+//! request only if no other request in flight there has more exits, and a successful run clears the
+//! caller whose run it was.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -10,51 +12,54 @@
 use serde::Serialize;
 
 use super::digest::{CallerDigest, LOAD_CALLER, RequestDigest, RequestIdentity};
-use super::record::{EndMark, RequestRecord, SuspectWeight};
+use super::record::{CrashRecord, ExitMark, SuspectWeight};
 use super::telling::{CrashBeacon, EndId, EndReport, EndedRequest};
 use crate::ids::MonoTime;
 
-/// Replicas that may end under a request until it is refused: the users' figure.
+/// Replica exits after which a request counts as fatal and is rejected; a requirement of the
+/// deployments.
 pub const MOST_ENDS: usize = 3;
 
-/// Time since a request was last met until it is forgotten. Its caller is told to stay away as long.
+/// Time after which a request that is no longer seen is forgotten. Callers of a rejected request
+/// are asked to wait as long before they retry.
 pub const FORGET_TIME: Duration = Duration::from_secs(900);
 
-/// Requests that are kept. Past that, those with the fewest ends go first, and of these the ones that were
-/// met longest ago. All of them take about 1 MB.
-const MOST_REQUESTS: usize = 4096;
+/// Maximum number of crash records. Beyond it, those with the fewest exits are evicted, and among
+/// these the ones that were seen least recently. A full table takes about 1 MB.
+const MAX_RECORDS: usize = 4096;
 
-/// Part of the requests that goes when there are too many, so that not each new one looks for the next.
-const CROWDED_PART: usize = MOST_REQUESTS / 8;
+/// Records that are evicted together, so that not every new request has to sort the table.
+const EVICTION_BATCH: usize = MAX_RECORDS / 8;
 
-/// Requests of which a process that asks is told: what a fleet under attack still sends in one answer.
-const MOST_TOLD: usize = 256;
+/// Maximum number of requests in the answer to a process that asks for everything, so that the
+/// answer stays small while the fleet is under attack.
+const MAX_REPORTED: usize = 256;
 
-/// Why a request is refused.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashCause {
-    /// Replicas that ended under it.
+    /// Replica exits that count against the request.
     pub ends: usize,
-    /// Callers whose requests were there.
+    /// Number of callers whose requests were in flight at its exits.
     pub callers: usize,
-    /// Whether only requests of the same caller are refused.
+    /// Whether only requests of the same caller are rejected.
     pub is_callers_own: bool,
-    /// Time since the last of these ends.
+    /// Time since the last of its exits.
     pub last_end: Duration,
 }
 
-/// What is known of ends, in a dump.
+/// Counts of crash records, for a dump.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct CrashSummary {
-    /// Requests that were at replicas which ended.
+    /// Requests that were in flight at a replica exit.
     pub requests: usize,
-    /// Those of them that were at so many ends that they may be refused.
+    /// Those of them that have enough exits to be rejected.
     pub fatal: usize,
-    /// Ends at which they were.
+    /// Distinct exits at which they were in flight.
     pub ends: usize,
 }
 
-/// Requests that were at replicas which ended.
+/// Crash records of all requests that were in flight at a replica exit.
 ///
 /// ```
 /// use std::time::Duration;
@@ -75,13 +80,13 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CrashBook {
-    records: HashMap<RequestDigest, RequestRecord>,
-    /// Whether ends under loads were ever noted.
+    records: HashMap<RequestDigest, CrashRecord>,
+    /// Whether an exit during a load was ever recorded.
     has_loads: bool,
 }
 
 impl CrashBook {
-    /// Requests that are kept.
+    /// Returns whether there are no crash records.
     ///
     /// ```
     /// assert!(quillcove_core::crash::book::CrashBook::default().is_empty());
@@ -90,8 +95,8 @@
         self.records.is_empty()
     }
 
-    /// Tells whether ends under loads are among what is kept. Mostly there are none, so that reports of engines
-    /// need not be looked through.
+    /// Returns whether there may be records of exits during loads. Usually there are none, and
+    /// reports of engines need not be searched for successful loads.
     ///
     /// ```
     /// assert!(!quillcove_core::crash::book::CrashBook::default().has_loads());
@@ -100,44 +105,44 @@
         self.has_loads && !self.is_empty()
     }
 
-    /// What is kept, in numbers.
+    /// Returns the counts of the crash records.
     ///
     /// ```
     /// assert_eq!(quillcove_core::crash::book::CrashBook::default().summary().requests, 0);
     /// ```
     pub fn summary(&self) -> CrashSummary {
-        let is_many = |record: &&RequestRecord| record.weight().ends >= MOST_ENDS;
+        let is_fatal = |record: &&CrashRecord| record.weight().exits >= MOST_ENDS;
         let ends: BTreeSet<EndId> =
-            self.records.values().flat_map(|record| record.ends_of(None)).collect();
+            self.records.values().flat_map(|record| record.exits_of(None)).collect();
         CrashSummary {
             requests: self.records.len(),
-            fatal: self.records.values().filter(is_many).count(),
+            fatal: self.records.values().filter(is_fatal).count(),
             ends: ends.len(),
         }
     }
 
-    /// Notes that a request was at a replica which ended; tells whether that is news.
+    /// Records that a request was in flight at a replica exit; returns whether this was new.
     ///
     /// See [`CrashBook`] for an example.
     pub fn note_end(
         &mut self,
-        end: EndId,
+        exit: EndId,
         ended: EndedRequest,
         at: MonoTime,
         now: MonoTime,
     ) -> bool {
         let EndedRequest { identity, has_begun, runs_well } = ended;
-        if self.records.len() >= MOST_REQUESTS && !self.records.contains_key(&identity.digest) {
-            self.make_room();
+        if self.records.len() >= MAX_RECORDS && !self.records.contains_key(&identity.digest) {
+            self.evict_weakest();
         }
         self.has_loads |= identity.caller == LOAD_CALLER;
         let record = self.records.entry(identity.digest).or_default();
         record.seen_at = now;
         record.runs_well |= runs_well;
-        record.add(EndMark { end, caller: identity.caller, has_begun, at })
+        record.add(ExitMark { exit, caller: identity.caller, has_begun, at })
     }
 
-    /// Notes that a request ran to a good end; tells whether it had been suspected and that is news.
+    /// Records that a request succeeded; returns whether this changes a crash record.
     ///
     /// ```
     /// use std::time::Duration;
@@ -150,10 +155,10 @@
     /// ```
     pub fn note_good(&mut self, identity: RequestIdentity, at: MonoTime) -> bool {
         let record = self.records.get_mut(&identity.digest);
-        record.is_some_and(|record| record.clear(identity.caller, at))
+        record.is_some_and(|record| record.clear_caller(identity.caller, at))
     }
 
-    /// Takes what another process tells; gives back how much of it was news.
+    /// Applies a report of another process; returns how many of its items were new.
     ///
     /// ```
     /// use std::time::Duration;
@@ -163,27 +168,27 @@
     /// let now = Duration::from_secs(1);
     /// assert_eq!(CrashBook::default().take(&CrashBeacon::default(), now), 0);
     /// ```
-    pub fn take(&mut self, beacon: &CrashBeacon, now: MonoTime) -> usize {
-        let mut news = 0;
-        for report in &beacon.ends {
+    pub fn take(&mut self, crash_report: &CrashBeacon, now: MonoTime) -> usize {
+        let mut new_count = 0;
+        for report in &crash_report.ends {
             let at = now.saturating_sub(report.age);
             for ended in &report.requests {
                 let is_new = self.note_end(report.end, *ended, at, now);
-                news += usize::from(is_new);
+                new_count += usize::from(is_new);
             }
         }
-        for good in &beacon.good {
+        for good in &crash_report.good {
             let at = now.saturating_sub(good.age);
-            news += usize::from(self.note_good(good.identity, at));
+            new_count += usize::from(self.note_good(good.identity, at));
         }
-        news
+        new_count
     }
 
-    /// Why a request is to be refused; `None` when it may run.
+    /// Returns why a request is to be rejected; `None` if it may run.
     ///
-    /// Ends of one caller's requests count against that caller. Once they are those of several callers, the
-    /// request itself is to blame, or its caller's address changes: then they count against everyone, unless
-    /// the request ran well for someone.
+    /// Exits under one caller's requests count against that caller. Once requests of several
+    /// callers are affected, either the request itself is fatal or its caller's address changes:
+    /// then the exits count against all callers, unless the request has succeeded for one of them.
     ///
     /// See [`CrashBook`] for an example.
     pub fn cause(&self, identity: RequestIdentity, now: MonoTime) -> Option<CrashCause> {
@@ -191,9 +196,9 @@
         if record.marks.len() < MOST_ENDS {
             return None;
         }
-        let blamed = self.blamed_ends(identity.digest, record);
+        let blamed = self.blamed_exits(identity.digest, record);
         let of = |caller: Option<CallerDigest>| -> usize {
-            record.ends_of(caller).intersection(&blamed).count()
+            record.exits_of(caller).intersection(&blamed).count()
         };
         let callers = record.callers().len();
         let own = of(Some(identity.caller));
@@ -212,22 +217,25 @@
         })
     }
 
-    /// Ends of a request at which no other request was that has more of them.
-    fn blamed_ends(&self, digest: RequestDigest, record: &RequestRecord) -> BTreeSet<EndId> {
+    /// Returns the exits of a request at which no request with more exits was in flight.
+    fn blamed_exits(&self, digest: RequestDigest, record: &CrashRecord) -> BTreeSet<EndId> {
         let weight = record.weight();
-        let mut blamed = record.ends_of(None);
+        let mut blamed = record.exits_of(None);
         for (other, stronger) in &self.records {
-            // Most have one end only and are passed over by the first comparison.
-            if stronger.marks.len() >= weight.ends && *other != digest && stronger.weight() > weight
+            // Most requests have one exit only and are skipped by the first comparison.
+            if stronger.marks.len() >= weight.exits
+                && *other != digest
+                && stronger.weight() > weight
             {
-                blamed.retain(|end| !stronger.marks.iter().any(|mark| mark.end == *end));
+                blamed.retain(|exit| !stronger.marks.iter().any(|mark| mark.exit == *exit));
             }
         }
         blamed
     }
 
-    /// Notes that a request was refused, so that it is not forgotten while it comes; gives what is to be told
-    /// again, as others may not have met it for long.
+    /// Records that a request was rejected, so that it is not forgotten while it keeps arriving.
+    /// Returns its exits if they are due to be reported again, because other processes may not have
+    /// seen the request for a long time.
     ///
     /// ```
     /// use std::time::Duration;
@@ -242,14 +250,15 @@
             return CrashBeacon::default();
         };
         record.seen_at = now;
-        if now.saturating_sub(record.told_at) < FORGET_TIME / 3 {
+        if now.saturating_sub(record.reported_at) < FORGET_TIME / 3 {
             return CrashBeacon::default();
         }
-        record.told_at = now;
-        CrashBeacon { ends: reports_of(digest, record, now), good: Vec::new() }
+        record.reported_at = now;
+        CrashBeacon { ends: exit_reports(digest, record, now), good: Vec::new() }
     }
 
-    /// All that is known, for a process that has just started or was away: the requests with the most ends.
+    /// Returns the requests with the most exits, as a report for a process that has just started or
+    /// was away.
     ///
     /// ```
     /// use std::time::Duration;
@@ -258,17 +267,17 @@
     /// assert!(CrashBook::default().all(Duration::ZERO).is_empty());
     /// ```
     pub fn all(&self, now: MonoTime) -> CrashBeacon {
-        let mut known: Vec<(&RequestDigest, &RequestRecord)> =
+        let mut known: Vec<(&RequestDigest, &CrashRecord)> =
             self.records.iter().filter(|(_, record)| !record.marks.is_empty()).collect();
         known.sort_by_key(|(digest, record)| {
             (std::cmp::Reverse((record.weight(), record.seen_at)), **digest)
         });
-        let reports = known.into_iter().take(MOST_TOLD);
-        let reports = reports.flat_map(|(digest, record)| reports_of(*digest, record, now));
+        let reports = known.into_iter().take(MAX_REPORTED);
+        let reports = reports.flat_map(|(digest, record)| exit_reports(*digest, record, now));
         CrashBeacon { ends: reports.collect(), good: Vec::new() }
     }
 
-    /// Forgets what was not met for long.
+    /// Removes the records of requests that have not been seen for [`FORGET_TIME`].
     ///
     /// ```
     /// use std::time::Duration;
@@ -280,25 +289,25 @@
         self.records.retain(|_, record| now.saturating_sub(record.seen_at) < FORGET_TIME);
     }
 
-    fn make_room(&mut self) {
+    fn evict_weakest(&mut self) {
         let mut all: Vec<(SuspectWeight, MonoTime, RequestDigest)> = self
             .records
             .iter()
             .map(|(digest, record)| (record.weight(), record.seen_at, *digest))
             .collect();
         all.sort();
-        for (_, _, digest) in all.into_iter().take(CROWDED_PART) {
+        for (_, _, digest) in all.into_iter().take(EVICTION_BATCH) {
             self.records.remove(&digest);
         }
     }
 }
 
-fn reports_of(digest: RequestDigest, record: &RequestRecord, now: MonoTime) -> Vec<EndReport> {
-    let report = |mark: &EndMark| {
+fn exit_reports(digest: RequestDigest, record: &CrashRecord, now: MonoTime) -> Vec<EndReport> {
+    let report = |mark: &ExitMark| {
         let identity = RequestIdentity { digest, caller: mark.caller };
         let (has_begun, runs_well) = (mark.has_begun, record.runs_well);
         let ended = EndedRequest { identity, has_begun, runs_well };
-        EndReport { end: mark.end, age: now.saturating_sub(mark.at), requests: vec![ended] }
+        EndReport { end: mark.exit, age: now.saturating_sub(mark.at), requests: vec![ended] }
     };
     record.marks.iter().map(report).collect()
 }
