--- a/quillcove_core/src/crash/telling.rs
+++ b/quillcove_core/src/crash/telling.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other of replicas that ended. No body, key or address is told.
+//! Reports of replica exits between processes. They contain no body, key or address.
 
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use super::digest::RequestIdentity;
 use crate::relay::beacon::StartTime;
 
-/// Names the end of one run of a replica, alike at all processes that know the replica.
+/// Identifies the exit of one run of a replica; equal in all processes that know the replica.
 pub type EndId = u64;
 
-/// Name of the end of the run of a replica that started at this time. A replica that starts again under
-/// its id may end again.
+/// Returns the ID of the exit of the run that started at `born`. A replica that restarts under its
+/// ID may exit again.
 ///
 /// ```
 /// use quillcove_core::crash::telling::end_id;
@@ -29,63 +29,63 @@
     hasher.finish()
 }
 
-/// Name of the end after this one, of a later run that goes by the same name: a replica that is back may be known
-/// by its earlier run for a while.
+/// Returns the ID of the exit that follows this one, of a later run under the same name: a replica
+/// that has restarted may be known by its earlier run for a while.
 ///
 /// ```
-/// use quillcove_core::crash::telling::{end_id, next_end};
+/// use quillcove_core::crash::telling::{end_id, next_exit_id};
 ///
-/// let end = end_id("i-1", None);
-/// assert_ne!(next_end(end), end);
+/// let exit = end_id("i-1", None);
+/// assert_ne!(next_exit_id(exit), exit);
 /// ```
-pub fn next_end(end: EndId) -> EndId {
+pub fn next_exit_id(exit: EndId) -> EndId {
     let mut hasher = SipHasher13::new();
-    end.hash(&mut hasher);
+    exit.hash(&mut hasher);
     hasher.finish()
 }
 
-/// A request that was at a replica when that ended.
+/// A request that was in flight at a replica exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedRequest {
     /// The request.
     pub identity: RequestIdentity,
-    /// Whether bytes of its answer had come.
+    /// Whether bytes of its response had arrived.
     pub has_begun: bool,
-    /// Whether the same request of another caller lately ran to a good end.
+    /// Whether the same request recently succeeded for another caller.
     pub runs_well: bool,
 }
 
-/// The end of a replica, and requests that were there.
+/// A replica exit, with requests that were in flight there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndReport {
-    /// Which end.
+    /// The exit.
     pub end: EndId,
-    /// How long ago it was noticed.
+    /// Time since the exit was noticed.
     pub age: Duration,
-    /// Requests that were sent to the replica and not answered whole.
+    /// Requests that were sent to the replica and had no complete response.
     pub requests: Vec<EndedRequest>,
 }
 
-/// A request that ran to a good end although it had been at replicas that ended.
+/// A request that succeeded after it had been in flight at a replica exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GoodReport {
     /// The request.
     pub identity: RequestIdentity,
-    /// How long ago.
+    /// Time since it succeeded.
     pub age: Duration,
 }
 
-/// What one process tells another of replicas that ended.
+/// Report of one process to another about replica exits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashBeacon {
-    /// Ends.
+    /// Exits.
     pub ends: Vec<EndReport>,
-    /// Requests that are cleared.
+    /// Requests cleared by a success.
     pub good: Vec<GoodReport>,
 }
 
 impl CrashBeacon {
-    /// Tells whether there is nothing in it.
+    /// Returns whether the report is empty.
     ///
     /// ```
     /// use quillcove_core::crash::telling::CrashBeacon;
@@ -97,9 +97,10 @@
     }
 }
 
-/// A relay's wish for all that another process knows of replicas that ended, as it may have missed some.
+/// Request of a relay for everything that another process knows of replica exits, since the relay
+/// may have missed reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashAsk {
-    /// Where the relay wants the answer.
+    /// Address to which the answer is sent.
     pub relay: SocketAddr,
 }
--- a/quillcove_core/src/crash/watch.rs
+++ b/quillcove_core/src/crash/watch.rs
@@ -1,69 +1,73 @@
-//! What one process that sends requests to replicas knows of those under which replicas end.
+//! Tracker of fatal requests in one process that sends requests to replicas.
 //!
-//! A broken answer may be a lost connection. Only when the replica is found to have ended as well does the
-//! request count as one that was there.
+//! An aborted response may also be due to a lost connection. The request counts as in flight at an
+//! exit only once the replica is confirmed to have exited.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::book::{CrashBook, CrashCause};
 use super::digest::RequestIdentity;
-use super::good::GoodRuns;
+use super::good::RecentSuccesses;
 use super::teller::CrashTeller;
-use super::telling::{CrashBeacon, EndId, EndedRequest, end_id, next_end};
+use super::telling::{CrashBeacon, EndId, EndedRequest, end_id, next_exit_id};
 use crate::ids::MonoTime;
 use crate::relay::beacon::{ReplicaId, StartTime};
 
-/// Time between a broken answer and the end of its replica within which the one is due to the other, when
-/// the end is heard of elsewhere. Processes notice an end within some milliseconds of each other.
-const SAME_END: Duration = Duration::from_millis(1500);
+/// Time between an aborted response and a replica exit reported by another process within which the
+/// one is attributed to the other. Processes notice an exit within a few milliseconds of each
+/// other.
+const MATCH_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Time for which ends are kept, to which answers may still be found to belong, and after which those of the
-/// replica's next run may be told apart.
-const END_LIFETIME: Duration = Duration::from_secs(60);
+/// Time for which exits are remembered, so that aborted responses can still be matched with them,
+/// and exits of the replica's next run can be distinguished from them.
+const EXIT_LIFETIME: Duration = Duration::from_secs(60);
 
-/// Broken answers that wait for word of their replica at most; past that the oldest goes.
-const MOST_BROKEN: usize = 1024;
+/// Maximum number of aborted responses that wait until it is known whether their replica exited;
+/// beyond it the oldest is dropped.
+const MAX_PENDING_ABORTS: usize = 1024;
 
-/// A run of a replica.
+/// One run of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaRun {
     /// The replica.
     pub replica: ReplicaId,
-    /// When it started, where it says so.
+    /// When the run started, if the replica reports it.
     pub born: Option<StartTime>,
 }
 
 impl ReplicaRun {
-    fn end(&self) -> EndId {
+    fn exit_id(&self) -> EndId {
         end_id(&self.replica, self.born)
     }
 }
 
-/// An answer that broke off.
+/// An aborted response.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerBreak {
     /// The request.
     pub identity: RequestIdentity,
-    /// Whether bytes of the answer had come.
+    /// Whether bytes of the response had arrived.
     pub has_begun: bool,
-    /// When the request was sent: a replica that has ended and is back may be known by its earlier run still.
+    /// When the request was sent. A replica that has exited and restarted may still be known by its
+    /// earlier run.
     pub sent_at: MonoTime,
 }
 
-/// An answer that broke off, as long as it is not known whether its replica ended.
+/// An aborted response for which it is not yet known whether its replica exited.
 #[derive(Clone, Copy, Debug)]
-struct BrokenAnswer {
+struct PendingAbort {
     /// The run of the replica, as this process knows it.
     run: EndId,
-    /// The end that it would be due to: that of the run, or of a later one under the same name.
-    end: EndId,
+    /// The exit to which the abort would be attributed: that of the run, or of a later run under
+    /// the same name.
+    exit: EndId,
     identity: RequestIdentity,
     has_begun: bool,
     at: MonoTime,
 }
 
-/// What one process knows of requests under which replicas end.
+/// Fatal requests as known to one process.
 ///
 /// ```
 /// use std::time::Duration;
@@ -76,8 +80,8 @@
 /// let mut watch = CrashWatch::default();
 /// for replica in ["i-1", "i-2", "i-3"] {
 ///     let run = ReplicaRun { replica: replica.into(), born: None };
-///     let broke = AnswerBreak { identity: request, has_begun: false, sent_at: now };
-///     watch.note_broken(&run, broke, now);
+///     let abort = AnswerBreak { identity: request, has_begun: false, sent_at: now };
+///     watch.note_broken(&run, abort, now);
 ///     assert!(watch.cause(request, now).is_none());
 ///     assert_eq!(watch.confirm_end(&run, now), 1);
 /// }
@@ -86,15 +90,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct CrashWatch {
     book: CrashBook,
-    good: GoodRuns,
+    successes: RecentSuccesses,
     teller: CrashTeller,
-    broken: Vec<BrokenAnswer>,
-    /// Ends that are known, and when they were noticed.
-    ended: BTreeMap<EndId, MonoTime>,
+    pending: Vec<PendingAbort>,
+    /// Known exits, and when they were noticed.
+    known_exits: BTreeMap<EndId, MonoTime>,
 }
 
 impl CrashWatch {
-    /// What is known of requests.
+    /// Returns the crash records.
     ///
     /// ```
     /// assert!(quillcove_core::crash::watch::CrashWatch::default().book().is_empty());
@@ -103,47 +107,48 @@
         &self.book
     }
 
-    /// Notes that an answer of a replica broke off. Tells whether it is the first one with that replica, so
-    /// that somebody has to find out whether the replica ended.
+    /// Records that a response was aborted. Returns whether it is the first one pending for that
+    /// exit, in which case somebody has to find out whether the replica exited.
     ///
     /// See [`CrashWatch`] for an example.
-    pub fn note_broken(&mut self, run: &ReplicaRun, broke: AnswerBreak, now: MonoTime) -> bool {
-        let AnswerBreak { identity, has_begun, sent_at } = broke;
-        let end = self.end_after(run.end(), sent_at);
-        let broken = BrokenAnswer { run: run.end(), end, identity, has_begun, at: now };
-        if self.ended.contains_key(&broken.end) {
-            self.count(broken, now);
+    pub fn note_broken(&mut self, run: &ReplicaRun, abort: AnswerBreak, now: MonoTime) -> bool {
+        let AnswerBreak { identity, has_begun, sent_at } = abort;
+        let exit = self.exit_after(run.exit_id(), sent_at);
+        let pending = PendingAbort { run: run.exit_id(), exit, identity, has_begun, at: now };
+        if self.known_exits.contains_key(&pending.exit) {
+            self.count_abort(pending, now);
             return false;
         }
-        let is_first = !self.broken.iter().any(|other| other.end == broken.end);
-        if self.broken.len() >= MOST_BROKEN {
-            self.broken.remove(0);
+        let is_first = !self.pending.iter().any(|other| other.exit == pending.exit);
+        if self.pending.len() >= MAX_PENDING_ABORTS {
+            self.pending.remove(0);
         }
-        self.broken.push(broken);
+        self.pending.push(pending);
         is_first
     }
 
-    /// Notes that a replica was found to have ended; gives the number of answers that broke off with it.
+    /// Records that a replica exit is confirmed; returns the number of responses it aborted.
     ///
     /// See [`CrashWatch`] for an example.
     pub fn confirm_end(&mut self, run: &ReplicaRun, now: MonoTime) -> usize {
-        let end = run.end();
-        let broken = self.broken.iter().find(|broken| broken.run == end);
-        let end = broken.map_or(end, |broken| broken.end);
-        self.ended.entry(end).or_insert(now);
-        self.count_broken(end, |_| true, now)
+        let exit = run.exit_id();
+        let abort = self.pending.iter().find(|abort| abort.run == exit);
+        let exit = abort.map_or(exit, |abort| abort.exit);
+        self.known_exits.entry(exit).or_insert(now);
+        self.count_matching(exit, |_| true, now)
     }
 
-    /// The first end of a run, and of later runs under its name, that was not known before this time.
-    fn end_after(&self, run: EndId, sent_at: MonoTime) -> EndId {
-        let mut end = run;
-        while self.ended.get(&end).is_some_and(|at| sent_at > *at + SAME_END) {
-            end = next_end(end);
+    /// Returns the first exit, of the run or of later runs under its name, that was not known when
+    /// the request was sent.
+    fn exit_after(&self, run: EndId, sent_at: MonoTime) -> EndId {
+        let mut exit = run;
+        while self.known_exits.get(&exit).is_some_and(|at| sent_at > *at + MATCH_WINDOW) {
+            exit = next_exit_id(exit);
         }
-        end
+        exit
     }
 
-    /// Notes that a replica was found to live: the answers broke off for another reason.
+    /// Records that the replica is alive: its aborted responses have another reason.
     ///
     /// ```
     /// use std::time::Duration;
@@ -153,40 +158,41 @@
     /// CrashWatch::default().deny_end(&run);
     /// ```
     pub fn deny_end(&mut self, run: &ReplicaRun) {
-        let end = run.end();
-        self.broken.retain(|broken| broken.run != end);
+        let exit = run.exit_id();
+        self.pending.retain(|abort| abort.run != exit);
     }
 
-    /// Counts the answers that broke off with an end.
-    fn count_broken(
+    /// Counts the pending responses that were aborted by an exit, and returns their number.
+    fn count_matching(
         &mut self,
-        end: EndId,
-        belongs: impl Fn(&BrokenAnswer) -> bool,
+        exit: EndId,
+        is_match: impl Fn(&PendingAbort) -> bool,
         now: MonoTime,
     ) -> usize {
-        let is_due = |broken: &BrokenAnswer| broken.end == end && belongs(broken);
-        let due: Vec<BrokenAnswer> = self.broken.iter().copied().filter(is_due).collect();
-        self.broken.retain(|broken| !is_due(broken));
-        for broken in &due {
-            self.count(*broken, now);
+        let is_due = |abort: &PendingAbort| abort.exit == exit && is_match(abort);
+        let due: Vec<PendingAbort> = self.pending.iter().copied().filter(is_due).collect();
+        self.pending.retain(|abort| !is_due(abort));
+        for abort in &due {
+            self.count_abort(*abort, now);
         }
         due.len()
     }
 
-    /// Counts one request at an end, unless it is excused as it has just run well for the same caller.
-    fn count(&mut self, broken: BrokenAnswer, now: MonoTime) {
-        if self.good.excuse(broken.identity, broken.at) {
+    /// Counts one request as in flight at an exit, unless it is excused because it has just
+    /// succeeded for the same caller.
+    fn count_abort(&mut self, abort: PendingAbort, now: MonoTime) {
+        if self.successes.excuse(abort.identity, abort.at) {
             return;
         }
-        let runs_well = self.good.has_request(broken.identity.digest);
-        let BrokenAnswer { end, identity, has_begun, at, .. } = broken;
+        let runs_well = self.successes.has_succeeded(abort.identity.digest);
+        let PendingAbort { exit, identity, has_begun, at, .. } = abort;
         let ended = EndedRequest { identity, has_begun, runs_well };
-        if self.book.note_end(end, ended, at, now) {
-            self.teller.note_end(end, ended, at);
+        if self.book.note_end(exit, ended, at, now) {
+            self.teller.note_end(exit, ended, at);
         }
     }
 
-    /// Notes that a request ran to a good end.
+    /// Records that a request succeeded.
     ///
     /// ```
     /// use std::time::Duration;
@@ -198,13 +204,13 @@
     /// CrashWatch::default().note_good(request, Duration::ZERO);
     /// ```
     pub fn note_good(&mut self, identity: RequestIdentity, now: MonoTime) {
-        self.good.note(identity, now);
+        self.successes.record(identity, now);
         if self.book.note_good(identity, now) {
             self.teller.note_good(identity, now);
         }
     }
 
-    /// Notes a good end that every process sees for itself, so that nobody is told of it.
+    /// Records a success that every process observes itself, so that it is not reported.
     ///
     /// ```
     /// use std::time::Duration;
@@ -219,14 +225,14 @@
         self.book.note_good(identity, now);
     }
 
-    /// Why a request is to be refused; `None` when it may run.
+    /// Returns why a request is to be rejected; `None` if it may run.
     ///
     /// See [`CrashWatch`] for an example.
     pub fn cause(&self, identity: RequestIdentity, now: MonoTime) -> Option<CrashCause> {
         self.book.cause(identity, now)
     }
 
-    /// Notes that a request was refused for what is known of it.
+    /// Records that a request was rejected for its crash record.
     ///
     /// ```
     /// use std::time::Duration;
@@ -246,7 +252,7 @@
         }
     }
 
-    /// Takes what another process tells; gives back how much of it was news.
+    /// Applies a report of another process; returns how many of its items were new.
     ///
     /// ```
     /// use std::time::Duration;
@@ -256,20 +262,20 @@
     /// let now = Duration::from_secs(1);
     /// assert_eq!(CrashWatch::default().take(&CrashBeacon::default(), now), 0);
     /// ```
-    pub fn take(&mut self, beacon: &CrashBeacon, now: MonoTime) -> usize {
-        for report in &beacon.ends {
+    pub fn take(&mut self, crash_report: &CrashBeacon, now: MonoTime) -> usize {
+        for report in &crash_report.ends {
             let at = now.saturating_sub(report.age);
-            if report.age < END_LIFETIME {
-                self.ended.entry(report.end).or_insert(at);
-                let belongs = |broken: &BrokenAnswer| broken.at.abs_diff(at) <= SAME_END;
-                self.count_broken(report.end, belongs, now);
+            if report.age < EXIT_LIFETIME {
+                self.known_exits.entry(report.end).or_insert(at);
+                let is_recent = |abort: &PendingAbort| abort.at.abs_diff(at) <= MATCH_WINDOW;
+                self.count_matching(report.end, is_recent, now);
             }
         }
-        self.book.take(beacon, now)
+        self.book.take(crash_report, now)
     }
 
-    /// What is to be told now, in messages that fit into a datagram: what is new, and with a beacon what was
-    /// told lately.
+    /// Returns the reports to be sent now, in messages that fit into a datagram: new updates, and
+    /// with a heartbeat also recent ones.
     ///
     /// ```
     /// use std::time::Duration;
@@ -277,11 +283,11 @@
     ///
     /// assert!(CrashWatch::default().tell(true, Duration::ZERO).is_empty());
     /// ```
-    pub fn tell(&mut self, is_beacon: bool, now: MonoTime) -> Vec<CrashBeacon> {
-        self.teller.tell(is_beacon, now)
+    pub fn tell(&mut self, is_heartbeat: bool, now: MonoTime) -> Vec<CrashBeacon> {
+        self.teller.tell(is_heartbeat, now)
     }
 
-    /// Forgets what is over.
+    /// Removes expired state.
     ///
     /// ```
     /// use std::time::Duration;
@@ -290,9 +296,9 @@
     /// CrashWatch::default().tick(Duration::from_secs(1));
     /// ```
     pub fn tick(&mut self, now: MonoTime) {
-        let is_fresh = |at: MonoTime| now.saturating_sub(at) < END_LIFETIME;
-        self.broken.retain(|broken| is_fresh(broken.at));
-        self.ended.retain(|_, at| is_fresh(*at));
+        let is_fresh = |at: MonoTime| now.saturating_sub(at) < EXIT_LIFETIME;
+        self.pending.retain(|abort| is_fresh(abort.at));
+        self.known_exits.retain(|_, at| is_fresh(*at));
         self.book.forget(now);
     }
 }
