--- a/quillcove_core/src/crash/teller.rs
+++ b/quillcove_core/src/crash/teller.rs
@@ -1,5 +1,5 @@
-//! What a process tells the others of replicas that ended: at once, and again with the next beacons, as
-//! messages get lost.
+//! Queue of updates about replica exits for other processes: each is sent at once and repeated with
+//! the next heartbeats, because messages get lost.
 
 use std::collections::VecDeque;
 
@@ -7,33 +7,34 @@
 use super::telling::{CrashBeacon, EndId, EndReport, EndedRequest, GoodReport};
 use crate::ids::MonoTime;
 
-/// How often each word is told: once at once, and with the next three beacons. Where three packets of a
-/// hundred are lost, one word of a million is missed by a relay, until the next end.
-const TOLD_TIMES: u32 = 4;
+/// How often each update is sent: once at once, and with the next three heartbeats. If 3 % of the
+/// packets are lost, a relay misses one update in a million, and only until the next exit.
+const SEND_COUNT: u32 = 4;
 
-/// Words that wait to be told at most; past that the oldest goes. A replica ends with a few hundred requests
-/// at most.
-const MOST_WORDS: usize = 2048;
+/// Maximum number of queued updates; beyond it the oldest is dropped. A replica exits with a few
+/// hundred requests in flight at most.
+const MAX_QUEUED: usize = 2048;
 
-/// Requests in one message, so that it fits into a datagram: about 28 bytes each, or 46 with an end of its own.
-const MOST_IN_MESSAGE: usize = 30;
+/// Requests in one message, so that it fits into a datagram: about 28 bytes each, or 46 with an
+/// exit of its own.
+const MAX_PER_MESSAGE: usize = 30;
 
-/// One thing to be told.
+/// One update to be sent.
 #[derive(Clone, Copy, Debug)]
-enum CrashWord {
-    Ended { end: EndId, ended: EndedRequest },
-    Good(RequestIdentity),
+enum CrashUpdate {
+    Exit { end: EndId, ended: EndedRequest },
+    Success(RequestIdentity),
 }
 
-/// A word and how often it was told.
+/// An update and how often it was sent.
 #[derive(Clone, Copy, Debug)]
-struct ToldWord {
-    word: CrashWord,
+struct QueuedUpdate {
+    update: CrashUpdate,
     at: MonoTime,
-    told: u32,
+    sent: u32,
 }
 
-/// Words of one process.
+/// Queue of the updates of one process.
 ///
 /// ```
 /// use std::time::Duration;
@@ -43,11 +44,11 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CrashTeller {
-    words: VecDeque<ToldWord>,
+    queue: VecDeque<QueuedUpdate>,
 }
 
 impl CrashTeller {
-    /// Notes that a request was at a replica which ended.
+    /// Queues the update that a request was in flight at a replica exit.
     ///
     /// ```
     /// use std::time::Duration;
@@ -64,10 +65,10 @@
     /// assert!(teller.tell(false, Duration::ZERO).is_empty());
     /// ```
     pub fn note_end(&mut self, end: EndId, ended: EndedRequest, at: MonoTime) {
-        self.push(CrashWord::Ended { end, ended }, at);
+        self.push(CrashUpdate::Exit { end, ended }, at);
     }
 
-    /// Notes that a request which had been suspected ran to a good end.
+    /// Queues the update that a request with a crash record succeeded.
     ///
     /// ```
     /// use std::time::Duration;
@@ -81,47 +82,48 @@
     /// assert_eq!(teller.tell(false, Duration::ZERO)[0].good.len(), 1);
     /// ```
     pub fn note_good(&mut self, identity: RequestIdentity, at: MonoTime) {
-        self.push(CrashWord::Good(identity), at);
+        self.push(CrashUpdate::Success(identity), at);
     }
 
-    fn push(&mut self, word: CrashWord, at: MonoTime) {
-        if self.words.len() >= MOST_WORDS {
-            self.words.pop_front();
+    fn push(&mut self, update: CrashUpdate, at: MonoTime) {
+        if self.queue.len() >= MAX_QUEUED {
+            self.queue.pop_front();
         }
-        self.words.push_back(ToldWord { word, at, told: 0 });
+        self.queue.push_back(QueuedUpdate { update, at, sent: 0 });
     }
 
-    /// What is due now, in messages that fit into a datagram.
+    /// Returns the updates to be sent now, in messages that fit into a datagram: those not sent
+    /// yet, and with a heartbeat also those to be repeated.
     ///
     /// See [`CrashTeller::note_end`] for an example.
-    pub fn tell(&mut self, is_beacon: bool, now: MonoTime) -> Vec<CrashBeacon> {
-        let mut beacon = CrashBeacon::default();
-        for told in &mut self.words {
-            if told.told > 0 && !is_beacon {
+    pub fn tell(&mut self, is_heartbeat: bool, now: MonoTime) -> Vec<CrashBeacon> {
+        let mut report = CrashBeacon::default();
+        for queued in &mut self.queue {
+            if queued.sent > 0 && !is_heartbeat {
                 continue;
             }
-            told.told += 1;
-            add(&mut beacon, told, now);
+            queued.sent += 1;
+            append_update(&mut report, queued, now);
         }
-        self.words.retain(|word| word.told < TOLD_TIMES);
-        in_messages(beacon)
+        self.queue.retain(|queued| queued.sent < SEND_COUNT);
+        in_messages(report)
     }
 }
 
-fn add(beacon: &mut CrashBeacon, told: &ToldWord, now: MonoTime) {
-    let age = now.saturating_sub(told.at);
-    match told.word {
-        CrashWord::Good(identity) => beacon.good.push(GoodReport { identity, age }),
-        CrashWord::Ended { end, ended } => {
-            match beacon.ends.last_mut().filter(|last| last.end == end) {
+fn append_update(report: &mut CrashBeacon, queued: &QueuedUpdate, now: MonoTime) {
+    let age = now.saturating_sub(queued.at);
+    match queued.update {
+        CrashUpdate::Success(identity) => report.good.push(GoodReport { identity, age }),
+        CrashUpdate::Exit { end, ended } => {
+            match report.ends.last_mut().filter(|last| last.end == end) {
                 Some(last) => last.requests.push(ended),
-                None => beacon.ends.push(EndReport { end, age, requests: vec![ended] }),
+                None => report.ends.push(EndReport { end, age, requests: vec![ended] }),
             }
         },
     }
 }
 
-/// Splits what is to be told into messages that fit into a datagram each.
+/// Splits a report into messages that fit into a datagram each.
 ///
 /// ```
 /// use quillcove_core::crash::teller::in_messages;
@@ -129,23 +131,23 @@
 ///
 /// assert!(in_messages(CrashBeacon::default()).is_empty());
 /// ```
-pub fn in_messages(beacon: CrashBeacon) -> Vec<CrashBeacon> {
+pub fn in_messages(report: CrashBeacon) -> Vec<CrashBeacon> {
     let mut messages = Vec::new();
     let mut message = CrashBeacon::default();
     let mut count = 0;
-    for report in beacon.ends {
-        for requests in report.requests.chunks(MOST_IN_MESSAGE) {
-            if count + requests.len() > MOST_IN_MESSAGE {
+    for end_report in report.ends {
+        for requests in end_report.requests.chunks(MAX_PER_MESSAGE) {
+            if count + requests.len() > MAX_PER_MESSAGE {
                 messages.push(std::mem::take(&mut message));
                 count = 0;
             }
             count += requests.len();
-            let (end, age) = (report.end, report.age);
+            let (end, age) = (end_report.end, end_report.age);
             message.ends.push(EndReport { end, age, requests: requests.to_vec() });
         }
     }
-    for good in beacon.good {
-        if count >= MOST_IN_MESSAGE {
+    for good in report.good {
+        if count >= MAX_PER_MESSAGE {
             messages.push(std::mem::take(&mut message));
             count = 0;
         }
