--- a/quillcove_core/src/crash/digest.rs
+++ b/quillcove_core/src/crash/digest.rs
@@ -1,5 +1,6 @@
-//! What makes two requests the same one: where they go, what they hold, and whose they are. Their ids
-//! are new with each try of a caller and tell nothing.
+//! Identity of a request, by which its retries are recognized: its target, its content, its
+//! workspace and its caller. Request IDs do not serve, since a caller draws a new one for each
+//! retry.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -12,15 +13,15 @@
 use crate::ids::AdapterVersion;
 use crate::relay::beacon::AdapterKey;
 
-/// Put before each request, so that a digest of another purpose is never one of a request.
+/// Prefix that separates digests of requests from digests made for other purposes.
 const DIGEST_DOMAIN: &[u8] = b"quillcove request\0";
 
-/// Bytes of a digest that are kept: two of a thousand million different requests are alike by chance with
-/// a probability of 1 in 10^20.
+/// Length of a digest. Among 10^9 different requests, the probability that two collide is 1 in
+/// 10^20.
 const DIGEST_BYTES: usize = 16;
 
-/// The digest of what a request is: its method, its host, its path with the query, the key of its workspace
-/// and its body. It is all that leaves a process of a request.
+/// Digest of a request's content: method, host, path with query, key of its workspace, and body.
+/// Other processes receive nothing else of the content.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
@@ -36,27 +37,27 @@
     }
 }
 
-/// Which caller sent a request, as a short digest of its network address.
+/// Identifies the caller that sent a request, by a short digest of its network address.
 pub type CallerDigest = u64;
 
-/// What is looked at to tell whether two requests are the same one.
+/// The parts of a request that make up its digest.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
-    /// The method.
+    /// Method.
     pub method: &'a str,
-    /// The host that it names.
+    /// Host named by the request.
     pub host: &'a str,
-    /// Path and query, as they came.
+    /// Path and query, exactly as received.
     pub path: &'a str,
-    /// The key of its workspace, where it has one.
+    /// Key of its workspace, if it has one.
     pub key: Option<KeyDigest>,
-    /// Its whole body.
+    /// The whole body.
     pub body: &'a [u8],
 }
 
 impl RequestParts<'_> {
-    /// The digest. It reads the whole body: 2.6 kB take 2 microseconds, 64 kB 45, on a processor with instructions
-    /// for SHA-256.
+    /// Computes the digest. This reads the whole body: 2.6 kB take 2 µs and 64 kB take 45 µs on a
+    /// processor with SHA-256 instructions.
     ///
     /// ```
     /// use quillcove_core::crash::digest::RequestParts;
@@ -71,7 +72,7 @@
         let key = self.key.map(KeyDigest::to_bytes);
         let key = key.as_ref().map_or(&[][..], |key| &key[..]);
         for part in [self.method.as_bytes(), self.host.as_bytes(), self.path.as_bytes(), key] {
-            // With its length before it, no part can pass for the end of the one before.
+            // The length prefix keeps bytes from moving from one part to the next unnoticed.
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
@@ -82,7 +83,7 @@
     }
 }
 
-/// The digest of a caller's network address.
+/// Returns the digest of a caller's network address.
 ///
 /// ```
 /// use quillcove_core::crash::digest::caller_digest;
@@ -94,7 +95,7 @@
     crate::rendezvous::weight("caller", &address.to_string())
 }
 
-/// What a request is and who sent it.
+/// Identity of a request: its content and its caller.
 ///
 /// ```
 /// use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
@@ -105,38 +106,38 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestIdentity {
-    /// What it is.
+    /// Digest of its content.
     pub digest: RequestDigest,
-    /// Who sent it.
+    /// Digest of its caller.
     pub caller: CallerDigest,
 }
 
 impl fmt::Display for RequestIdentity {
-    /// Both digests in hex, as processes of the system hand them on.
+    /// Writes both digests in hexadecimal, as they are passed between processes.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}-{:016x}", self.digest, self.caller)
     }
 }
 
-/// A text is no identity of a request.
+/// A text is not the identity of a request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{0}' is not the identity of a request")]
-pub struct IdentityFault(String);
+pub struct IdentityError(String);
 
 impl FromStr for RequestIdentity {
-    type Err = IdentityFault;
+    type Err = IdentityError;
 
-    fn from_str(text: &str) -> Result<Self, IdentityFault> {
-        let fault = || IdentityFault(text.to_string());
-        let (digest, caller) = text.split_once('-').ok_or_else(fault)?;
+    fn from_str(text: &str) -> Result<Self, IdentityError> {
+        let error = || IdentityError(text.to_string());
+        let (digest, caller) = text.split_once('-').ok_or_else(error)?;
         let mut bytes = [0; DIGEST_BYTES];
-        hex::decode_to_slice(digest, &mut bytes).map_err(|_| fault())?;
-        let caller = CallerDigest::from_str_radix(caller, 16).map_err(|_| fault())?;
+        hex::decode_to_slice(digest, &mut bytes).map_err(|_| error())?;
+        let caller = CallerDigest::from_str_radix(caller, 16).map_err(|_| error())?;
         Ok(Self { digest: RequestDigest(bytes), caller })
     }
 }
 
-/// The digest of a caller who says its name.
+/// Returns the digest of a caller that states its name.
 ///
 /// ```
 /// use quillcove_core::crash::digest::named_caller_digest;
@@ -147,11 +148,11 @@
     crate::rendezvous::weight("named caller", name)
 }
 
-/// Stands for the caller of a load: it is the same load whoever wants it.
+/// Caller of every adapter load: a load is the same whichever caller wants it.
 pub(super) const LOAD_CALLER: CallerDigest = 0;
 
-/// What the load of an adapter is. An engine may end whenever it loads a broken one, as it may under a
-/// request; a newer version is another load.
+/// Returns the identity of an adapter load. An engine may exit whenever it loads a broken adapter,
+/// just as under a fatal request. A newer version counts as another load.
 ///
 /// ```
 /// use quillcove_core::crash::digest::load_identity;
--- a/quillcove_core/src/crash/mod.rs
+++ b/quillcove_core/src/crash/mod.rs
@@ -1,16 +1,16 @@
-//! Requests under which replicas end.
+//! Detection of fatal requests, under which replicas exit.
 //!
-//! A request may end each replica that begins to run it. Its caller sees a broken answer and comes again,
-//! with a new id and at any relay, so that what is counted by id, by connection or by process sees a first
-//! try each time. Here a request is counted by what it is, over all relays: once three replicas have ended
-//! under it, it is refused.
+//! A fatal request makes each replica that begins to run it exit. Its caller sees an aborted
+//! response and retries, with a new request ID and at any relay, so a count by ID, by connection or
+//! by process takes every retry for a first attempt. This module counts a request by its content
+//! over all relays, and rejects it once three replicas have exited under it.
 //!
-//! - [`digest`]: what makes two requests the same one.
-//! - [`book`]: which requests were at a replica when it ended, and which of them is to blame.
-//! - [`good`]: requests that lately ran to a good end.
-//! - [`telling`]: what processes tell each other of it.
-//! - [`teller`]: what is told when, and how often.
-//! - [`watch`]: all of it for one process that sends requests to replicas.
+//! - [`digest`]: identity of a request, by which retries are recognized.
+//! - [`book`]: crash records, and the decision which requests are fatal.
+//! - [`good`]: requests that succeeded recently.
+//! - [`telling`]: reports of exits between processes.
+//! - [`teller`]: queue of reports to be sent, and their repetition.
+//! - [`watch`]: the tracker of one process that sends requests to replicas, which combines these.
 
 pub mod book;
 pub mod digest;
