--- a/quillcove_core/src/agent/mod.rs
+++ b/quillcove_core/src/agent/mod.rs
@@ -1,5 +1,6 @@
-//! Decisions beside one upstream. The agent is the only process that gives its upstream orders
-//! and work, so no agreement with others is needed for what must always hold.
+//! The agent: a process beside one upstream that queues and starts attempts there and, at a model
+//! engine, loads and unloads adapters. It is the only process that sends work and orders to its
+//! upstream, so its safety rules need no agreement with other processes.
 
 mod admission;
 mod crashes;
@@ -36,16 +37,15 @@
 use crate::standing::UpstreamStanding;
 use crate::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
 
-/// Demand meters kept; beyond them the faded ones go.
+/// Number of demand meters above which those of faded demand are removed.
 const METER_LIMIT: usize = 4096;
 
-/// Level below which a demand meter may go.
+/// Demand level at or below which a meter may be removed.
 const FADED_LEVEL: f64 = 0.05;
 
 /// One attempt that was handed to the upstream.
 #[derive(Clone, Debug)]
 struct RunningAttempt {
-    /// When it was started.
     started: MonoTime,
     target: WorkTarget,
     class: WorkClass,
@@ -53,7 +53,8 @@
     identity: Option<RequestIdentity>,
 }
 
-/// A pin of a run whose answer broke off: the engine may still work on it for a while.
+/// A pin on the adapter of a run whose response was cut off: the engine may continue to process it
+/// for a while.
 #[derive(Clone, Debug)]
 struct LingeringPin {
     until: MonoTime,
@@ -89,25 +90,26 @@
     demand: BTreeMap<AdapterRef, DemandMeter>,
     ask_after: MonoTime,
     is_upstream_up: bool,
-    /// What the upstream of now has said of itself.
+    /// What the current process start of the upstream has reported about itself.
     standing: UpstreamStanding,
-    /// Reports since its word that it leaves which do not say so.
+    /// Consecutive reports that do not mention draining, since the upstream announced it.
     staying_reports: u32,
     host_state: HostState,
     is_stopping: bool,
     has_stopped: bool,
     is_confirmed: bool,
-    /// Under which requests the upstream ends.
+    /// Detects fatal requests of the upstream.
     crashes: CrashWatch,
-    /// Runs of the upstream that this process has met.
+    /// Number of process starts of the upstream that this process has seen.
     upstream_runs: u64,
-    /// What the upstream named as its run last.
+    /// Incarnation in the upstream's latest report.
     seen_incarnation: Incarnation,
     last_event: MonoTime,
 }
 
 impl AgentMachine {
-    /// A machine that knows nothing of its upstream yet and refuses work until it does.
+    /// Creates a machine with no information about its upstream; it rejects work until the upstream
+    /// has reported and a bundle is in force.
     ///
     /// ```
     /// use std::time::Duration;
@@ -152,7 +154,7 @@
         }
     }
 
-    /// The record of runs that must not happen twice.
+    /// Returns the record of runs that must not happen twice.
     ///
     /// ```
     /// use std::time::Duration;
@@ -168,7 +170,7 @@
         &mut self.book
     }
 
-    /// Takes one event and appends the actions that follow from it.
+    /// Handles one event and appends the resulting actions to `out`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -204,8 +206,8 @@
         self.progress(now, out);
     }
 
-    /// A process that was paused holds beliefs of which it can not tell how old they are. It
-    /// starts nothing before the host list was read again.
+    /// Detects a suspension of this process. After one, the age of its information is unknown, so
+    /// it starts nothing until the host list has been read again.
     fn notice_pause(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let gap = now.saturating_sub(self.last_event);
         self.last_event = now;
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Does all that has become possible.
+    /// Performs every step that has become possible.
     fn progress(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         self.refuse_late(now, out);
         self.refuse_hopeless(now, out);
@@ -223,7 +225,7 @@
         self.release_lingering(now);
         if self.is_confirmed && self.hold_claim(now, out) {
             self.start_ready(now, out);
-            // An engine that leaves or rests gets no orders either.
+            // An engine that is draining or in a requested pause gets no orders either.
             if self.check_standing(now).is_ok() {
                 self.advance_loads(now, out);
             }
@@ -259,7 +261,7 @@
         self.engine = Some(engine);
     }
 
-    /// Begins anew with an engine that is new to this agent or has restarted.
+    /// Takes over an engine that is new to this agent or has restarted.
     fn take_over(
         &mut self,
         now: MonoTime,
@@ -281,8 +283,8 @@
         self.engine = Some(engine);
     }
 
-    /// An engine acted on a newer bundle than this agent holds: acting on the older one would
-    /// take the newer one back.
+    /// Drops this agent's bundle when the engine has acted on a newer one: acting on the older
+    /// bundle would undo the newer one.
     pub(super) fn witness(&mut self, version: u64, out: &mut Vec<AgentAction>) {
         let held = self.bundle.as_ref().map_or(0, |bundle| bundle.version);
         if version > held {
@@ -340,7 +342,7 @@
     }
 }
 
-/// The verdict that goes with the end of a run.
+/// Returns the verdict for the end of a run.
 ///
 /// ```
 /// use quillcove_core::agent::event::RunEnd;
