--- a/quillcove_core/src/agent/event.rs
+++ b/quillcove_core/src/agent/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the agent's machine and what comes out.
+//! Events, actions and settings of the agent's state machine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::standing::notice::UpstreamNotice;
 use crate::verdict::WorkRefusal;
 
-/// What an attempt needs from the upstream.
+/// The kind of service that an attempt needs from the upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum WorkTarget {
     /// A model engine with this adapter.
@@ -25,59 +25,60 @@
     Service,
 }
 
-/// One attempt that an entry sends to this agent.
+/// A request of an entry to run one attempt at this agent's upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunOrder {
-    /// Names the attempt.
+    /// Unique id of the attempt.
     pub attempt: AttemptId,
-    /// The run of the agent that the entry means.
+    /// Incarnation of the agent that the entry addresses.
     pub incarnation: Incarnation,
-    /// Adapter or service.
+    /// The adapter or service that the attempt needs.
     pub target: WorkTarget,
-    /// Urgency.
+    /// Urgency class.
     pub class: WorkClass,
-    /// Time on the agent's clock after which the answer is of no use.
+    /// Time on the agent's clock after which the response is useless.
     pub deadline: MonoTime,
-    /// Whose request it is.
+    /// Caller that sent the request.
     pub caller: CallerId,
-    /// Set for a request that must not run twice.
+    /// The run-once claim of a request that must not run twice.
     pub claim: Option<OnceClaim>,
-    /// What it is, whatever its ids; `None` where that is not known.
+    /// Identity of the request's content, independent of its ids; `None` when unknown.
     pub identity: Option<RequestIdentity>,
 }
 
-/// How a started attempt ended.
+/// Outcome of a started attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// The whole answer was received; the number is its HTTP status.
+    /// The complete response was received; holds its HTTP status.
     Complete(u16),
-    /// The upstream said that it did not run it, or it could not be reached at all.
+    /// The upstream stated that it did not run the attempt, or could not be reached at all.
     NotRun,
-    /// The answer broke off, or the caller went and the upstream's answer was not awaited.
+    /// The response was cut off, or the caller disconnected and the upstream's response was not
+    /// awaited.
     Broken,
 }
 
-/// State of the engine as it reports it, some time ago.
+/// State of the engine at the time of its report, which may be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Differs after each restart of the engine.
+    /// Changes with each restart of the engine.
     pub incarnation: Incarnation,
-    /// Highest fence that the engine has seen in an order; zero where it does not check.
+    /// Highest fence that the engine has seen in an order; zero if it does not check fences.
     pub highest_fence: OrderFence,
     /// Number of adapter slots.
     pub slots: usize,
-    /// Number of requests that run in one batch.
+    /// Number of requests in one batch.
     pub batch: usize,
-    /// Adapters loaded.
+    /// Loaded adapters.
     pub loaded: Vec<AdapterRef>,
     /// Requests running or queued in the engine, by adapter.
     pub running: Vec<(AdapterRef, usize)>,
-    /// It says that it leaves.
+    /// Whether the engine announces that it is draining.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What an order asks of the engine.
+/// The operation that an order requests from the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderKind {
@@ -85,103 +86,106 @@
     Load(AdapterRef),
     /// Unload this adapter.
     Unload(AdapterRef),
-    /// Change nothing; the order only raises the highest fence that the engine has seen.
+    /// Changes nothing except to raise the highest fence that the engine has seen.
     Claim,
 }
 
 /// An order to the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Its position; the engine refuses lower ones than it has seen.
+    /// Position of the order; the engine rejects orders with a lower fence than the highest it has
+    /// seen.
     pub fence: OrderFence,
-    /// What to do.
+    /// Requested operation.
     pub kind: OrderKind,
 }
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderEnd {
-    /// The engine did it, or it was so already.
+    /// The engine executed it, or its effect was already in place.
     Done,
-    /// The engine has seen this higher fence.
+    /// Rejected, because the engine has already seen this higher fence.
     Stale(OrderFence),
-    /// The engine said that it could not.
+    /// The engine reported a failure.
     Failed,
-    /// No answer; the order may be done, or done later.
+    /// No response; the engine may have executed the order or may still do so.
     Unknown,
 }
 
-/// What the platform's host list says of the agent's own host.
+/// State of the agent's own host in the platform's host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
-    /// Takes work.
+    /// Accepts new work.
     Live,
-    /// Takes no new work.
+    /// Draining: accepts no new work.
     Leaving,
 }
 
-/// Answer to an entry that withdraws an attempt.
+/// Response to an entry that withdraws an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WithdrawAnswer {
-    /// It did not run, and a copy that arrives later will be refused.
+    /// The attempt did not run, and a copy that arrives later will be rejected.
     NotRun,
-    /// It was started, or was meant for an earlier run of the agent.
+    /// The attempt was started, or was addressed to another incarnation of the agent.
     MayHaveRun,
 }
 
-/// Events of the agent's machine.
+/// Events that the agent's state machine handles.
 #[derive(Clone, Debug)]
 pub enum AgentEvent {
     /// An entry sent an attempt.
     Arrived(RunOrder),
-    /// An entry withdraws an attempt meant for the given run of the agent.
+    /// An entry withdraws an attempt that it sent to the given incarnation of the agent.
     Withdrawn(AttemptId, Incarnation),
     /// A started attempt ended.
     Ended(AttemptId, RunEnd),
-    /// The engine reported.
+    /// The upstream sent a report.
     Reported(EngineReport),
-    /// The upstream does not answer.
+    /// The upstream does not respond.
     UpstreamLost,
-    /// The upstream said this of itself with an answer.
+    /// The upstream reported its status with a response.
     Said(UpstreamNotice),
-    /// The upstream answered an attempt well, and named no limit with it.
+    /// The upstream responded successfully to an attempt and announced no rate limit with the
+    /// response.
     NamedNoLimit(AttemptId),
     /// An order ended.
     OrderEnded(OrderFence, OrderEnd),
-    /// The keeper answered; the machine's own pace applies when none could be reached.
+    /// The load rate coordinator answered, or none could be reached and the agent paces its loads
+    /// at its equal share of the rate.
     PermitAnswered(PermitAnswer),
-    /// A bundle is in force.
+    /// A bundle came into force.
     BundleTaken(Arc<FleetBundle>),
     /// The host list was read, or could not be read (`None`).
     HostSeen(Option<HostState>),
-    /// The process is asked to stop.
+    /// The process was asked to stop.
     StopAsked,
-    /// Time passed.
+    /// Periodic timer.
     Ticked,
 }
 
-/// Actions of the agent's machine.
+/// Actions that the agent's state machine requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
     /// Hand the attempt to the upstream.
     Start(AttemptId),
-    /// Answer the attempt with a refusal.
+    /// Reject the attempt.
     Refuse(AttemptId, WorkRefusal),
-    /// Answer a withdrawal.
+    /// Respond to a withdrawal.
     AnswerWithdrawal(AttemptId, WithdrawAnswer),
     /// Send an order to the engine.
     Send(EngineOrder),
-    /// Ask the keeper for a permit, with the value of the load.
+    /// Request a permit from the load rate coordinator, with the value of the load.
     AskPermit(f64),
-    /// Give the permit back.
+    /// Return the permit.
     ReturnPermit,
-    /// Read the host list now, because this process was paused.
+    /// Read the host list now, because this process was suspended.
     ReadHosts,
     /// The engine acted on this bundle version, which is newer than the one in force here.
     WitnessBundle(BundleVersion),
-    /// Nothing is in flight and the process may end.
+    /// No attempt is in flight and the process may exit.
     Stopped,
 }
 
@@ -191,17 +195,17 @@
 pub enum UpstreamKind {
     /// Holds adapters in slots.
     Engine,
-    /// Takes any request.
+    /// Accepts any request.
     Service,
 }
 
-/// Which adapter goes when a slot is needed.
+/// Which adapter is evicted when a slot is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EvictRule {
-    /// The one used longest ago; the baseline.
+    /// The least recently used one; the baseline.
     Lru,
-    /// The one of least value: faded demand times priority.
+    /// The one with the lowest value: decayed demand times the weight of its priority.
     Value,
 }
 
@@ -209,9 +213,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LoadRule {
-    /// The one whose first request waits longest; the baseline.
+    /// The one whose oldest request has waited longest; the baseline.
     Oldest,
-    /// The one whose waiting requests weigh most.
+    /// The one whose waiting requests have the highest total weight.
     Value,
 }
 
@@ -221,7 +225,7 @@
 pub enum PacingRule {
     /// Loads start at once; the baseline.
     None,
-    /// Loads wait for a permit of the site's keeper.
+    /// Loads wait for a permit from the site's load rate coordinator.
     Keeper,
 }
 
@@ -229,10 +233,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BatchRule {
-    /// As soon as there is a place; the baseline.
+    /// As soon as the upstream has capacity; the baseline.
     Eager,
-    /// Beside other work, or once enough is gathered to fill a batch, or when half of its time
-    /// is over.
+    /// Beside other work, once enough has accumulated to fill a batch, or when half of the time
+    /// until an attempt's deadline has passed.
     Gather,
 }
 
@@ -241,38 +245,40 @@
 pub struct AgentRules {
     /// Kind of upstream.
     pub kind: UpstreamKind,
-    /// Whether the engine refuses orders with a lower fence.
+    /// Whether the engine rejects orders with a lower fence.
     pub checks_fence: bool,
-    /// Least term at an engine. It grows with each start of an agent on the host, so that an
-    /// engine that has forgotten its fences is not taken over under an old term.
+    /// Lowest term to use at an engine. It grows with each start of an agent on the host, so that
+    /// an engine that has lost its fences is not taken over under an old term.
     pub least_term: u64,
-    /// Most attempts that wait.
+    /// Maximum number of waiting attempts.
     pub queue_limit: usize,
-    /// Most attempts handed to a plain service at the same time.
+    /// Maximum number of concurrent attempts at a plain service.
     pub service_limit: usize,
-    /// Attempts handed to an engine beyond its batch, so that a place is filled at once.
+    /// Number of attempts sent to an engine beyond its batch size, so that a free place in the
+    /// batch is filled immediately.
     pub engine_margin: usize,
-    /// Share of an engine's places that batch-class work may take.
+    /// Share of the engine's capacity that batch-class work may use, from 0 to 1.
     pub batch_share: f64,
-    /// Longest that an order without an answer may still take effect.
+    /// Maximum time during which an unanswered order may still take effect.
     pub order_lifetime: Duration,
-    /// After taking over an engine, how long nothing is unloaded because reports lag.
+    /// Time after the takeover of an engine during which nothing is unloaded, because reports may
+    /// be outdated.
     pub settle_time: Duration,
-    /// A gap between events that counts as a pause of the process.
+    /// Time between events above which the process counts as suspended.
     pub pause_limit: Duration,
-    /// How long the identities of ended attempts are kept to refuse late copies.
+    /// How long marks of ended attempts are kept to reject late copies.
     pub mark_lifetime: Duration,
     /// Half-life of an adapter's demand.
     pub half_life: Duration,
-    /// An adapter is unloaded for another only when the other's value is this many times higher.
+    /// Factor by which the value of a load must exceed the value of the adapter that it evicts.
     pub evict_margin: f64,
-    /// Choice of the adapter that goes.
+    /// Selection of the adapter to evict.
     pub evict: EvictRule,
-    /// Choice of the adapter that comes.
+    /// Selection of the adapter to load.
     pub load: LoadRule,
-    /// Pacing of loads.
+    /// Whether loads wait for a permit.
     pub pacing: PacingRule,
-    /// Start of batch-class work.
+    /// When batch-class work starts.
     pub batch: BatchRule,
 }
 
@@ -300,7 +306,7 @@
     }
 }
 
-/// What an attempt's end means for a run that must not happen twice.
+/// Returns the state to record for a run-once attempt that ended, or `None` if it did not run.
 ///
 /// ```
 /// use quillcove_core::agent::event::{RunEnd, once_state};
