--- a/quillcove_core/src/agent/engine.rs
+++ b/quillcove_core/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! What the agent knows of its engine: slots, fences and the load in progress.
+//! State of the agent's engine: slots, fences and the load in progress.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,101 +9,104 @@
 use crate::fence::OrderFence;
 use crate::ids::{BundleVersion, Incarnation, MonoTime};
 
-/// Assumed time of a load before the first one was seen.
+/// Load time assumed until the first load has been measured.
 const FIRST_LOAD_TIME: Duration = Duration::from_secs(1);
 
-/// Weight of the newest load in the average load time.
+/// Smoothing factor of the moving average of load times.
 const LOAD_TIME_GAIN: f64 = 0.2;
 
-/// First pause after a failed load; doubles with each further failure.
+/// Backoff after the first failed load; doubles with each further failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest pause after failed loads.
+/// Upper bound of the backoff after failed loads.
 const LAST_BACKOFF: Duration = Duration::from_secs(30);
 
-/// Progress of the one load that an agent works on.
+/// Progress of a load; an agent runs one load at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadPlan {
     /// Adapter to load.
     pub adapter: AdapterRef,
-    /// When the plan began.
+    /// Start time of the plan.
     pub since: MonoTime,
-    /// Whether the keeper's permit is held.
+    /// Whether a permit of the load rate coordinator is held.
     pub has_permit: bool,
-    /// Where it stands.
+    /// Current stage.
     pub stage: PlanStage,
 }
 
 /// Stages of a load.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanStage {
-    /// The keeper was asked.
+    /// A permit was requested.
     Asking,
-    /// An order is out.
+    /// An order was sent and its outcome is pending.
     Ordered(EngineOrder),
-    /// An order got no answer; nothing else is ordered until this time.
+    /// An order got no response; no other order is sent before this time.
     Unsure(OrderKind, MonoTime),
 }
 
-/// Whether this agent alone gives the engine orders.
+/// Whether this agent is the only one whose orders the engine accepts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimState {
-    /// A first order has to raise the fence, so that orders still on their way from an earlier
-    /// agent, or from before the engine's restart, are refused.
+    /// A first order must raise the fence, so that the engine rejects orders still in transit from
+    /// an earlier agent or from before the engine's restart.
     Needed,
-    /// That order is out.
+    /// The claim order was sent and its outcome is pending.
     Ordered(OrderFence),
-    /// Orders on their way may still take effect until this time. After an order without an
-    /// answer, or with an engine that does not check fences.
+    /// Orders in transit may still take effect until this time. Used after an unanswered claim
+    /// order, or with an engine that does not check fences.
     Waiting(MonoTime),
-    /// The fence stands.
+    /// The claim is established.
     Held,
 }
 
-/// Pause after failed loads of one adapter.
+/// Backoff after failed loads of one adapter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadBackoff {
-    /// No load before this time.
+    /// Time before which the adapter is not loaded.
     pub until: MonoTime,
-    /// Length of the pause.
+    /// Length of the current backoff.
     pub pause: Duration,
 }
 
-/// State of one run of the engine under this agent.
+/// State of one process start of the engine under this agent.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// The engine's run.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// Requests in one batch.
+    /// Number of requests in one batch.
     pub batch: usize,
-    /// Slots.
+    /// Adapter slots.
     pub table: SlotTable,
-    /// Whether this agent alone gives orders.
+    /// Whether this agent is the only one whose orders the engine accepts.
     pub claim: ClaimState,
     /// Load in progress.
     pub plan: Option<LoadPlan>,
-    /// Nothing is unloaded before this time, because reports may be older than the takeover.
+    /// Time before which nothing is unloaded, because reports may predate the takeover.
     pub settle_until: MonoTime,
-    /// Another agent has taken the engine over.
+    /// Whether another agent has taken the engine over.
     pub is_superseded: bool,
-    /// Average time from the wish for a load, or from the load before it, to its end; the wait
-    /// for permits is part of it.
+    /// Moving average of the time from the need for a load, or from the preceding load, to its end;
+    /// includes the wait for a permit.
     pub load_time: Duration,
-    /// Since when an adapter is wanted without a pause; starts anew with each load.
+    /// Time since which some adapter has been waiting to be loaded without interruption; restarts
+    /// with each load.
     pub wanted_since: Option<MonoTime>,
-    /// Pauses by adapter.
+    /// Backoffs by adapter.
     pub backoffs: BTreeMap<AdapterRef, LoadBackoff>,
-    /// Loads that the engine did.
+    /// Number of completed loads.
     pub loads_done: u64,
-    /// Highest fence of this agent, or of an earlier one at the takeover.
+    /// Fence of this agent's latest order, or at the takeover the highest fence that the engine
+    /// reported.
     last_fence: OrderFence,
-    /// Highest fence that the engine has reported or answered.
+    /// Highest fence that the engine has reported or returned in a response.
     pub seen_fence: OrderFence,
     term: u64,
 }
 
 impl EngineState {
-    /// Takes over an engine as it reports itself, in a term above all that it has seen.
+    /// Takes over an engine in the state that it reports, under a term above every term it has
+    /// seen.
     ///
     /// ```
     /// use std::time::Duration;
@@ -132,8 +135,8 @@
         }
     }
 
-    /// Takes the engine over again after it restarted: what it forgot of the fences, this agent
-    /// still knows.
+    /// Takes the engine over again after its restart. The engine may have lost its fences, so the
+    /// new term is derived from this agent's own.
     ///
     /// ```
     /// use std::time::Duration;
@@ -149,7 +152,7 @@
         Self { load_time: self.load_time, loads_done: self.loads_done, ..next }
     }
 
-    /// Term of this agent at this engine.
+    /// Returns this agent's term at the engine.
     ///
     /// ```
     /// use std::time::Duration;
@@ -162,7 +165,7 @@
         self.term
     }
 
-    /// Makes the next order.
+    /// Creates an order with the next fence.
     ///
     /// ```
     /// use std::time::Duration;
@@ -181,7 +184,7 @@
         EngineOrder { fence: self.last_fence, kind }
     }
 
-    /// Tells whether a report shows the effect of all orders so far.
+    /// Returns whether a report reflects the effect of all orders sent so far.
     ///
     /// ```
     /// use std::time::Duration;
@@ -197,8 +200,8 @@
         self.plan.as_ref().is_none_or(|plan| plan.stage == PlanStage::Asking) && is_caught_up
     }
 
-    /// Notes a fence that the engine has seen. Returns the bundle version in it when another
-    /// agent's order is behind it.
+    /// Records a fence that the engine has seen, and marks this agent as superseded if the fence
+    /// carries a higher term than its own.
     ///
     /// ```
     /// use std::time::Duration;
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Tells whether an order to load the adapter, or to make a slot free for it, is out.
+    /// Returns whether an order to load the adapter, or to free a slot for it, has been sent.
     ///
     /// ```
     /// use std::time::Duration;
@@ -233,7 +236,7 @@
         planned.is_some_and(|plan| plan.stage != PlanStage::Asking)
     }
 
-    /// Notes a finished load.
+    /// Records a completed load and how long it took.
     ///
     /// ```
     /// use std::time::Duration;
@@ -253,7 +256,7 @@
         self.load_time = Duration::from_secs_f64(new);
     }
 
-    /// Notes a failed load and returns the pause before the next try.
+    /// Records a failed load and returns the backoff before the next load.
     ///
     /// ```
     /// use std::time::Duration;
@@ -273,7 +276,7 @@
         pause
     }
 
-    /// Tells whether a load of the adapter has to wait after failures.
+    /// Returns whether the adapter is in backoff after failed loads.
     ///
     /// ```
     /// use std::time::Duration;
