--- a/quillcove_core/src/agent/admission.rs
+++ b/quillcove_core/src/agent/admission.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt may wait here, and the refusals of those that may not.
+//! Admission of attempts to the queue, and their rejection and withdrawal.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Checks that the order is meant for this run of the agent and is no copy.
+    /// Checks that the attempt is addressed to this incarnation of the agent and is not a copy.
     fn check_identity(&self, order: &RunOrder) -> Result<(), WorkRefusal> {
         if order.incarnation != self.incarnation {
             return Err(WorkRefusal::not_run(
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Decides whether an order may wait here. The claim comes last, so that no refusal has to
-    /// give it back.
+    /// Decides whether an attempt may be queued. The run-once claim is taken last, so that no
+    /// rejection has to release it.
     fn admit(
         &mut self,
         now: MonoTime,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Keeps the queue bounded: a less urgent attempt makes room for a more urgent one.
+    /// Keeps the queue bounded: a more urgent attempt displaces a less urgent one.
     fn make_room(
         &mut self,
         now: MonoTime,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Refuses an attempt that waits, and gives its claim back.
+    /// Rejects a queued attempt and releases its run-once claim.
     pub(super) fn refuse_waiting(
         &mut self,
         now: MonoTime,
