--- a/quillcove_core/src/agent/crashes.rs
+++ b/quillcove_core/src/agent/crashes.rs
@@ -1,4 +1,5 @@
-//! Under which requests the upstream of this agent ends. Entries hear of it with each answer.
+//! Detection of fatal requests, under which the upstream of this agent exits. Entries receive them
+//! with each response.
 
 use super::AgentMachine;
 use super::event::RunEnd;
@@ -7,17 +8,19 @@
 use crate::crash::watch::{AnswerBreak, ReplicaRun};
 use crate::ids::MonoTime;
 
-/// Requests of which each answer tells at most: in JSON they take about 150 bytes each.
+/// Maximum number of fatal requests in one response: each takes about 150 bytes of JSON.
 const TOLD_REQUESTS: usize = 8;
 
 impl AgentMachine {
     fn upstream_run(&self) -> ReplicaRun {
-        // Another process of this host's agent counts its runs anew.
+        // A restarted agent counts the upstream's process starts from zero; its incarnation keeps
+        // them distinct from those counted by its predecessor.
         let born = self.incarnation.wrapping_add(self.upstream_runs);
         ReplicaRun { replica: self.host.clone(), born: Some(born) }
     }
 
-    /// Notes how a run ended: one that broke off is due to the upstream's end, if that has ended.
+    /// Records the outcome of a run. A response that was cut off counts against its request if the
+    /// upstream turns out to have exited.
     pub(super) fn note_run_end(
         &mut self,
         now: MonoTime,
@@ -40,13 +43,13 @@
         }
     }
 
-    /// Notes that the upstream has ended, or restarted unseen.
+    /// Records that the upstream exited, or restarted unnoticed.
     pub(super) fn note_upstream_end(&mut self, now: MonoTime) {
         let run = self.upstream_run();
         self.crashes.confirm_end(&run, now);
     }
 
-    /// What entries are told with each answer.
+    /// Returns the crash records that are sent to entries with each response.
     pub(super) fn crash_news(&self) -> CrashBeacon {
         let mut known = self.crashes.book().all(self.last_event);
         known.ends.truncate(TOLD_REQUESTS);
