--- a/quillcove_core/src/agent/limit.rs
+++ b/quillcove_core/src/agent/limit.rs
@@ -1,6 +1,6 @@
-//! The limit that the upstream names, and what it means for attempts that wait.
+//! The rate limit that the upstream announces, and its effect on queued attempts.
 //!
-//! The agent is the only one that gives its upstream work, so that the whole limit is its own.
+//! The agent is the only sender of work to its upstream, so it uses the whole limit itself.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
 use crate::standing::limit::RateLimit;
 use crate::verdict::{RefusalReason, WorkRefusal};
 
-/// Longest wait of an attempt for its turn. Others may take it sooner, and its entry asks them when it is refused.
+/// Maximum wait of an attempt for its send slot. Another upstream may be able to take it sooner;
+/// once it is rejected here, its entry tries the others.
 const MOST_TURN_WAIT: Duration = Duration::from_millis(100);
 
 impl AgentMachine {
-    /// The limit that the upstream names.
+    /// Returns the rate limit that the upstream announces.
     ///
     /// ```
     /// use std::time::Duration;
@@ -31,14 +32,15 @@
         self.standing.limit()
     }
 
-    /// Takes that the upstream has answered an attempt well and named no limit with it.
+    /// Records that the upstream responded successfully to an attempt and announced no rate limit
+    /// with the response.
     pub(super) fn note_no_limit(&mut self, now: MonoTime, attempt: AttemptId) {
         if let Some(running) = self.running.get(&attempt) {
             self.standing.note_no_limit(running.started, Duration::ZERO, now);
         }
     }
 
-    /// Time until an attempt has its turn under the limit that starts after so many others.
+    /// Returns the time until the send slot of an attempt that starts after `ahead` others.
     pub(super) fn limit_wait(&self, now: MonoTime, ahead: usize) -> Duration {
         let Some(limit) = self.standing.limit() else {
             return Duration::ZERO;
@@ -47,7 +49,7 @@
         first + limit.gap() * ahead as u32
     }
 
-    /// Refuses an attempt that would have its turn too late, behind so many others.
+    /// Rejects an attempt whose send slot, after `ahead` others, is too far away.
     pub(super) fn check_limit(&self, now: MonoTime, ahead: usize) -> Result<(), WorkRefusal> {
         let wait = self.limit_wait(now, ahead);
         match wait <= MOST_TURN_WAIT {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Refuses what waits for a turn that comes too late.
+    /// Rejects queued attempts whose send slot is too far away.
     pub(super) fn refuse_beyond_limit(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         if self.standing.limit().is_none() || self.room.is_empty() {
             return;
