--- a/quillcove_core/src/agent/loads.rs
+++ b/quillcove_core/src/agent/loads.rs
@@ -1,4 +1,4 @@
-//! Which adapter is loaded next, and what is unloaded for it.
+//! Selection of the adapter to load next and of the adapter to evict for it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,18 +15,19 @@
 use crate::permit::PermitAnswer;
 use crate::verdict::{RefusalReason, WorkRefusal};
 
-/// A permit's answer that took longer than this is given back unused.
+/// Time after which a granted permit is returned unused, because the answer is outdated.
 const ANSWER_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Time over which the demand for a loaded adapter is set against the requests that wait.
+/// Time over which the expected demand for a loaded adapter is weighed against the waiting
+/// requests.
 const KEEP_HORIZON_SECS: f64 = 5.0;
 
-/// Batch-class work counts as normal when its deadline is nearer than this many load times.
+/// Batch-class work counts as normal when its deadline is less than this many load times away.
 const LATE_LOADS: u32 = 8;
 
 impl AgentMachine {
-    /// Expected wait until an order could start: none for a loaded adapter, else the loads that
-    /// go before it and its own.
+    /// Returns the expected wait until an attempt can start: zero for a loaded adapter, otherwise
+    /// the time of the loads ahead of its own and of its own.
     pub(super) fn expected_wait(&self, now: MonoTime, order: &RunOrder) -> Duration {
         let WorkTarget::Adapter(adapter) = &order.target else { return Duration::ZERO };
         let Some(engine) = &self.engine else { return Duration::ZERO };
@@ -41,7 +42,7 @@
         engine.load_time * (ahead.count() as u32 + 1)
     }
 
-    /// Adapters that attempts wait for and that are not loaded, by falling value.
+    /// Returns the adapters that attempts wait for and that are not loaded, by descending value.
     fn line_of_loads(&self, now: MonoTime) -> Vec<(AdapterRef, f64)> {
         let Some(engine) = &self.engine else { return Vec::new() };
         let wanted = self.room.adapters().filter(|(adapter, _)| {
@@ -54,8 +55,8 @@
         line
     }
 
-    /// Refuses attempts whose load can not come in time any more, at once, with the time that the
-    /// load is expected to take.
+    /// Rejects attempts whose adapter can no longer be loaded before their deadline, at once and
+    /// with the expected load time.
     pub(super) fn refuse_hopeless(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let Some(load_time) = self.engine.as_ref().map(|engine| engine.load_time) else { return };
         for (place, (adapter, _)) in self.line_of_loads(now).into_iter().enumerate() {
@@ -76,8 +77,8 @@
         priority_weight(priority)
     }
 
-    /// Value of loading an adapter for those who wait: each counts by class and by how long it
-    /// has waited already, in seconds.
+    /// Returns the value of loading an adapter for the waiting attempts: each counts by its class
+    /// and by how long it has waited, in seconds.
     fn load_value(
         &self,
         now: MonoTime,
@@ -96,7 +97,7 @@
         queue.iter().map(value_of).sum::<f64>() * self.priority_weight(adapter)
     }
 
-    /// Moves the load in progress on, or begins the next one.
+    /// Advances the load in progress, or starts the next one.
     pub(super) fn advance_loads(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let Some(bundle) = self.bundle.clone() else {
             return;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Notes since when a load is wanted, so that its whole wait is measured.
+    /// Records since when a load has been needed, so that its whole wait is measured.
     fn note_wanted(&mut self, now: MonoTime, is_wanted: bool) {
         let Some(engine) = &mut self.engine else { return };
         match is_wanted {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The adapter that should be loaded next, with its value.
+    /// Returns the adapter to load next, with its value.
     fn next_load(&self, now: MonoTime) -> Option<(AdapterRef, f64)> {
         let engine = self.engine.as_ref()?;
         let wanted = self.room.adapters().filter(|(adapter, _)| {
@@ -162,8 +163,8 @@
         Some((best.0.clone(), best.1))
     }
 
-    /// How a slot becomes free for an adapter: `Some(None)` when one is free, `Some(victim)`
-    /// when one can be unloaded, `None` when the loaded ones are worth more or in use.
+    /// Finds a slot for an adapter: `Some(None)` when one is free, `Some(victim)` when an adapter
+    /// can be evicted, `None` when all loaded adapters have a higher value or are in use.
     fn make_way(
         &self,
         now: MonoTime,
@@ -195,7 +196,7 @@
         (gain >= keep).then_some(Some(victim))
     }
 
-    /// Takes the keeper's answer.
+    /// Handles the answer of the load rate coordinator.
     pub(super) fn take_permit(
         &mut self,
         now: MonoTime,
@@ -231,7 +232,8 @@
         }
     }
 
-    /// Sends the next order of the plan, or drops the plan when nothing waits for it any more.
+    /// Sends the next order of the plan, or drops the plan when no attempt waits for its adapter
+    /// any more.
     pub(super) fn order_next(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let Some(bundle) = self.bundle.clone() else {
             return self.drop_plan(out);
