--- a/quillcove_core/src/agent/marks.rs
+++ b/quillcove_core/src/agent/marks.rs
@@ -1,25 +1,25 @@
-//! Marks that keep a late copy of an attempt from running.
+//! State of recent attempts, kept to reject copies that arrive late.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use crate::ids::{AttemptId, MonoTime};
 
-/// Most marks kept; beyond them new attempts are refused rather than old marks forgotten.
+/// Maximum number of marks. Beyond it, new attempts are rejected rather than old marks dropped.
 pub const MARK_LIMIT: usize = 200_000;
 
-/// What is known of an attempt that is over or underway.
+/// State of an attempt that is in progress or has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptMark {
-    /// Waits in the agent.
+    /// Queued in the agent.
     Waiting,
-    /// Was handed to the upstream.
+    /// Sent to the upstream.
     Started,
-    /// Was refused or withdrawn before it started.
+    /// Rejected or withdrawn before it started.
     Refused,
 }
 
-/// Marks of attempts with their expiry.
+/// Marks of attempts, with the expiry of those that have ended.
 #[derive(Clone, Debug, Default)]
 pub struct MarkTable {
     marks: BTreeMap<AttemptId, AttemptMark>,
@@ -27,7 +27,7 @@
 }
 
 impl MarkTable {
-    /// The mark of an attempt.
+    /// Returns the mark of an attempt.
     ///
     /// ```
     /// use quillcove_core::agent::marks::MarkTable;
@@ -38,7 +38,7 @@
         self.marks.get(&attempt).copied()
     }
 
-    /// Tells whether no further attempt can be marked.
+    /// Returns whether no further attempt can be marked.
     ///
     /// ```
     /// use quillcove_core::agent::marks::MarkTable;
@@ -49,7 +49,7 @@
         self.marks.len() >= MARK_LIMIT
     }
 
-    /// Sets a mark that stays until it is replaced.
+    /// Sets a mark that does not expire until it is replaced.
     ///
     /// ```
     /// use quillcove_core::agent::marks::{AttemptMark, MarkTable};
@@ -62,7 +62,7 @@
         self.marks.insert(attempt, mark);
     }
 
-    /// Sets a last mark, which goes after its lifetime.
+    /// Sets the final mark of an attempt, which expires after `lifetime`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -84,7 +84,7 @@
         self.expiries.push_back((now + lifetime, attempt));
     }
 
-    /// Drops marks whose lifetime is over.
+    /// Removes expired marks.
     ///
     /// ```
     /// use std::time::Duration;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Number of marks.
+    /// Returns the number of marks.
     ///
     /// ```
     /// use quillcove_core::agent::marks::MarkTable;
@@ -113,7 +113,7 @@
         self.marks.len()
     }
 
-    /// Tells whether there is no mark.
+    /// Returns whether there are no marks.
     ///
     /// ```
     /// use quillcove_core::agent::marks::MarkTable;
