--- a/quillcove_core/src/agent/orders.rs
+++ b/quillcove_core/src/agent/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine: the claim, then one load or unload at a time.
+//! Orders to the engine: first a claim of the engine, then one load or unload at a time.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use crate::ids::MonoTime;
 use crate::verdict::{RefusalReason, WorkRefusal};
 
-/// Pause after which an engine that checks fences gets an unanswered order again.
+/// Delay before an unanswered order is resent to an engine that checks fences.
 const RESEND_PAUSE: Duration = Duration::from_millis(200);
 
 impl AgentMachine {
-    /// Makes sure that this agent alone gives the engine orders, before anything runs or loads
-    /// there. `true` when it is so.
+    /// Ensures that this agent is the only one whose orders the engine accepts, before anything
+    /// runs or loads there. Returns whether that is the case.
     pub(super) fn hold_claim(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) -> bool {
         if self.rules.kind == UpstreamKind::Service {
             return true;
@@ -41,7 +41,7 @@
         false
     }
 
-    /// Takes the end of a claiming order.
+    /// Handles the outcome of a claim order.
     fn end_claim(
         &mut self,
         now: MonoTime,
@@ -88,7 +88,7 @@
         issue(engine, bundle, kind, out);
     }
 
-    /// Takes the end of the order that is out; ends of other orders are late and say nothing.
+    /// Handles the outcome of the pending order. Outcomes of other orders are late and ignored.
     pub(super) fn end_order(
         &mut self,
         now: MonoTime,
@@ -149,7 +149,8 @@
         }
     }
 
-    /// A failed load frees its slot and sends its waiting attempts to other engines.
+    /// Handles a failed order. A failed load frees its slot and rejects the attempts that wait for
+    /// the adapter, so that they are sent to other engines.
     fn order_failed(&mut self, now: MonoTime, order: &EngineOrder, out: &mut Vec<AgentAction>) {
         let Some(engine) = &mut self.engine else {
             return;
@@ -166,9 +167,9 @@
         self.drop_plan(out);
     }
 
-    /// An order without an answer. An engine that checks fences gets it again under a higher
-    /// fence, which also shuts out the first copy. With another engine the order's lifetime has
-    /// passed by now; the slot goes back to what the next report shows.
+    /// Resolves an order without a response. An engine that checks fences gets the order again
+    /// under a higher fence, which also makes it reject the first copy. With another engine, the
+    /// order's lifetime has passed by now, and the slot is set by the next report.
     pub(super) fn settle_unsure(
         &mut self,
         bundle: &FleetBundle,
@@ -188,7 +189,7 @@
     }
 }
 
-/// Gives an order of the plan the next fence and sends it.
+/// Assigns the next fence to an order of the plan and sends it.
 fn issue(
     engine: &mut EngineState,
     bundle: &FleetBundle,
@@ -209,7 +210,7 @@
     }
 }
 
-/// Puts a slot back after an order that was not done.
+/// Reverts the state of a slot after an order that was not executed.
 fn undo(engine: &mut EngineState, kind: &OrderKind) {
     match kind {
         OrderKind::Load(adapter) => engine.table.remove(adapter),
