--- a/quillcove_core/src/agent/running.rs
+++ b/quillcove_core/src/agent/running.rs
@@ -1,4 +1,4 @@
-//! Attempts at the upstream: their start, their end, and the adapters they pin.
+//! Attempts in flight at the upstream: their start, their end, and the adapters that they pin.
 
 use super::event::{AgentAction, BatchRule, RunEnd, UpstreamKind, WorkTarget, once_state};
 use super::marks::AttemptMark;
@@ -10,7 +10,7 @@
 
 impl AgentMachine {
     pub(super) fn start_ready(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
-        // After a rest, a few at a time.
+        // After a requested pause, work resumes in growing steps, so only a few attempts may start.
         while self.running.len() < self.capacity() && self.may_start(now) {
             let is_ready = |target: &WorkTarget| self.is_target_ready(target);
             let may_start_batch = self.may_start_batch(now);
@@ -29,8 +29,9 @@
         }
     }
 
-    /// Batch-class work fills places beside other work. Alone it starts when enough of it is
-    /// gathered to fill the batch, or when half of somebody's time is over.
+    /// Returns whether batch-class work may start. It uses capacity beside other work. On an idle
+    /// engine it starts once enough has accumulated to fill the batch, or when half of the time
+    /// until an attempt's deadline has passed.
     fn may_start_batch(&self, now: MonoTime) -> bool {
         let places = (self.capacity() as f64 * self.rules.batch_share).ceil() as usize;
         if self.running_of(WorkClass::Batch) >= places {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Lets go of runs that broke off, once the engine must have noticed.
+    /// Removes the pins of cut-off runs once the engine must have noticed their end.
     pub(super) fn release_lingering(&mut self, now: MonoTime) {
         while self.lingering.front().is_some_and(|pin| pin.until <= now) {
             self.lingering.pop_front();
@@ -111,8 +112,9 @@
         }
     }
 
-    /// Runs of this agent that use an adapter, whichever run of the engine they began in: from
-    /// their start to their last byte, and after a broken end until the engine must have noticed.
+    /// Returns the number of this agent's runs that use an adapter, under any process start of the
+    /// engine: from their start to the last byte of the response, and after a cut-off response
+    /// until the engine must have noticed.
     pub(super) fn pins(&self, adapter: &AdapterRef) -> usize {
         let uses = |running: &&RunningAttempt| match &running.target {
             WorkTarget::Adapter(other) => other == adapter,
