--- a/quillcove_core/src/agent/said.rs
+++ b/quillcove_core/src/agent/said.rs
@@ -1,4 +1,4 @@
-//! What the upstream says of itself, and what follows for attempts.
+//! The status that the upstream reports about itself, and its effect on attempts.
 
 use std::time::Duration;
 
@@ -9,24 +9,26 @@
 use crate::standing::{LeavingSource, StandingChange, UpstreamStanding};
 use crate::verdict::{RefusalReason, WorkRefusal};
 
-/// Reports in a row without the word after which a plain service that said that it leaves is another one: the
-/// second of them was asked for after the word had come.
+/// Consecutive reports without draining after which a plain service that announced draining counts
+/// as a new process start. The second such report was requested after the announcement had arrived.
 const STAYING_REPORTS: u32 = 2;
 
-/// Rest that entries are told of while an upstream leaves, as the next one may stand in its place by then, and the
-/// longest one while it names a limit.
+/// Pause announced to entries while the upstream drains, since its successor may run by then; also
+/// the longest pause announced because of a rate limit.
 const LOOK_PAUSE: Duration = Duration::from_secs(2);
 
 impl AgentMachine {
-    /// Takes what the upstream said with an answer. What waits here for an upstream that leaves or rests is
-    /// refused at once, as others may take it.
+    /// Applies a status that the upstream sent with a response. Attempts queued for an upstream
+    /// that drains or requests a pause are rejected at once, as other upstreams may be able to take
+    /// them.
     pub(super) fn take_notice(
         &mut self,
         now: MonoTime,
         notice: &UpstreamNotice,
         out: &mut Vec<AgentAction>,
     ) {
-        // The agent is the only one that gives it work, so that nobody returns beside it.
+        // The spread is zero: the agent is the only sender of work to the upstream, so no other
+        // sender resumes at the same moment.
         match self.standing.take(notice, Duration::ZERO, now) {
             Some(StandingChange::Leaves) => {
                 self.staying_reports = 0;
@@ -35,13 +37,14 @@
             Some(StandingChange::Rests(until)) => {
                 self.refuse_all(now, resting(until.saturating_sub(now)), out);
             },
-            // What waits beyond its turn is refused with the next step.
+            // Attempts whose send slot is too far away are rejected by the next `progress`.
             Some(StandingChange::Limits(_)) | None => {},
         }
     }
 
-    /// Takes whether a report says that the upstream leaves. An engine's next start shows in its incarnation; a plain
-    /// service has none, but says with each answer that it leaves, so that one which does not is another one.
+    /// Applies whether a report announces draining. A new process start of an engine shows in its
+    /// incarnation. A plain service has none, but it announces draining with every response, so one
+    /// that no longer does is a new process start.
     pub(super) fn note_reported_leaving(
         &mut self,
         now: MonoTime,
@@ -64,7 +67,8 @@
         }
     }
 
-    /// Tells whether the upstream wants work, as far as it has said.
+    /// Returns whether the upstream, by its reported status, accepts work: it neither drains nor
+    /// requests a pause.
     ///
     /// ```
     /// use std::time::Duration;
@@ -80,7 +84,7 @@
         self.check_standing(now).is_ok()
     }
 
-    /// Refuses an attempt while the upstream leaves or rests.
+    /// Rejects an attempt while the upstream drains or is in a requested pause.
     pub(super) fn check_standing(&self, now: MonoTime) -> Result<(), WorkRefusal> {
         if self.standing.is_leaving() {
             return Err(WorkRefusal::not_run(RefusalReason::Leaving, Some(Duration::ZERO)));
@@ -91,13 +95,15 @@
         }
     }
 
-    /// Tells whether the upstream takes another attempt now.
+    /// Returns whether another attempt may be sent to the upstream now.
     pub(super) fn may_start(&self, now: MonoTime) -> bool {
         !self.standing.is_leaving() && self.standing.takes_work(now)
     }
 
-    /// How long entries are to send nothing, as the upstream rests or leaves, or as others wait for their turn under
-    /// its limit. That one may be lifted at any moment, so that they look again after a while.
+    /// Returns how long entries should send nothing, because the upstream drains or is in a
+    /// requested pause, or because other attempts wait for their send slots under its rate limit. A
+    /// rate limit may be lifted at any moment, so the pause that it causes is short and entries
+    /// check again after it.
     pub(super) fn rest_left(&self, now: MonoTime) -> Duration {
         if self.standing.is_leaving() {
             return LOOK_PAUSE;
