--- a/quillcove_core/src/agent/slots.rs
+++ b/quillcove_core/src/agent/slots.rs
@@ -1,4 +1,4 @@
-//! The engine's adapter slots as the agent knows them.
+//! The agent's view of the engine's adapter slots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,35 +12,36 @@
 /// State of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotState {
-    /// A load order is out.
+    /// A load order was sent.
     Loading,
-    /// Serves requests.
+    /// The adapter serves requests.
     Ready,
-    /// An unload order is out, or may still take effect.
+    /// An unload order was sent; its outcome is pending or unknown.
     Unloading,
 }
 
-/// One adapter in a slot.
+/// A slot that holds an adapter.
 #[derive(Clone, Debug)]
 pub struct AdapterSlot {
-    /// State.
+    /// State of the slot.
     pub state: SlotState,
-    /// Requests of an earlier agent that may still run; they only become fewer.
+    /// Number of requests of an earlier agent that may still run. Only falls, except during the
+    /// settle time after a takeover.
     pub foreign: usize,
-    /// Last use.
+    /// Time of the last use.
     pub used: MonoTime,
 }
 
-/// All slots of one run of the engine.
+/// All slots of one process start of the engine.
 #[derive(Clone, Debug, Default)]
 pub struct SlotTable {
-    /// Number of slots.
+    /// Total number of slots.
     pub total: usize,
     slots: BTreeMap<AdapterRef, AdapterSlot>,
 }
 
 impl SlotTable {
-    /// The slots as a report shows them, for an agent that takes over an engine.
+    /// Creates the table from a report, for an agent that takes over an engine.
     ///
     /// ```
     /// use std::time::Duration;
@@ -63,7 +64,7 @@
         table
     }
 
-    /// Adds an adapter.
+    /// Adds an adapter in the given state.
     ///
     /// ```
     /// use std::time::Duration;
@@ -91,7 +92,7 @@
         self.slots.remove(adapter);
     }
 
-    /// One slot.
+    /// Returns the slot of an adapter.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -103,7 +104,7 @@
         self.slots.get(adapter)
     }
 
-    /// One slot, to change.
+    /// Returns the slot of an adapter for modification.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -115,7 +116,7 @@
         self.slots.get_mut(adapter)
     }
 
-    /// All slots by adapter.
+    /// Iterates over all occupied slots, ordered by adapter.
     ///
     /// ```
     /// use quillcove_core::agent::slots::SlotTable;
@@ -126,7 +127,7 @@
         self.slots.iter()
     }
 
-    /// Tells whether requests for the adapter can start.
+    /// Returns whether requests for the adapter can start.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -138,7 +139,7 @@
         self.slots.get(adapter).is_some_and(|slot| slot.state == SlotState::Ready)
     }
 
-    /// Tells whether a slot is free.
+    /// Returns whether a slot is free.
     ///
     /// ```
     /// use quillcove_core::agent::slots::SlotTable;
@@ -149,10 +150,10 @@
         self.slots.len() < self.total
     }
 
-    /// Takes a later report of the same run of the engine, with the agent's own pins by adapter.
-    /// Reports lag, so a slot is dropped only when nothing is pinned and no order is out; requests
-    /// of an earlier agent only become fewer, except while the agent has just taken over and
-    /// reports may be older than it.
+    /// Applies a later report of the same process start of the engine; `pins` returns the agent's
+    /// own pins of an adapter. Reports may be outdated, so a slot is dropped only when its adapter
+    /// is not pinned and no order is pending. The number of an earlier agent's requests only falls,
+    /// except while the agent has just taken over and a report may predate the takeover.
     ///
     /// ```
     /// use std::time::Duration;
@@ -193,21 +194,21 @@
     }
 }
 
-/// Ranks adapters for eviction.
+/// Ranks loaded adapters for eviction.
 pub struct EvictRank<'a> {
-    /// Rule in use.
+    /// Rule that selects the adapter.
     pub rule: EvictRule,
     /// Demand by adapter.
     pub demand: &'a BTreeMap<AdapterRef, DemandMeter>,
-    /// Half-life of demand.
+    /// Half-life of the demand meters.
     pub half_life: Duration,
     /// Bundle in force.
     pub bundle: &'a FleetBundle,
 }
 
 impl EvictRank<'_> {
-    /// Value of keeping an adapter loaded: its expected requests a second, weighed by priority.
-    /// An adapter that the bundle no longer serves has none.
+    /// Returns the value of keeping an adapter loaded: its expected requests per second, weighted
+    /// by priority, or zero if the bundle no longer serves it.
     ///
     /// ```
     /// use std::collections::BTreeMap;
@@ -234,8 +235,8 @@
         rate * priority_weight(self.bundle.priority_of(adapter))
     }
 
-    /// The adapter to unload: loaded, not in use by a request that runs or waits, and lowest by
-    /// the rule.
+    /// Returns the adapter to evict: one that is loaded and has no running or waiting requests, and
+    /// that ranks lowest under the rule.
     ///
     /// ```
     /// use std::collections::BTreeMap;
@@ -273,7 +274,7 @@
     }
 }
 
-/// Weight of a bundle's priority: each step counts a quarter more.
+/// Returns the weight of a bundle's priority: each step adds a quarter.
 ///
 /// ```
 /// use quillcove_core::agent::slots::priority_weight;
