--- a/quillcove_core/src/agent/view.rs
+++ b/quillcove_core/src/agent/view.rs
@@ -1,4 +1,4 @@
-//! The agent's state for the dump and for metrics.
+//! The agent's state as written to dumps and metrics, and its status for entries.
 
 use serde::Serialize;
 
@@ -15,13 +15,13 @@
 pub struct SlotView {
     /// Adapter with version.
     pub adapter: String,
-    /// `loading`, `ready` or `unloading`.
+    /// State of the slot: `loading`, `ready` or `unloading`.
     pub state: &'static str,
-    /// Attempts that use it.
+    /// Number of attempts that use the adapter.
     pub pins: usize,
-    /// Requests of an earlier agent that may still run.
+    /// Number of requests of an earlier agent that may still run.
     pub foreign: usize,
-    /// Requests a second, faded.
+    /// Demand in requests per second, decayed over time.
     pub demand: f64,
 }
 
@@ -30,50 +30,50 @@
 pub struct AgentView {
     /// Host of the agent.
     pub host: HostId,
-    /// Run of the agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
     /// Kind of upstream.
     pub kind: UpstreamKind,
-    /// Whether the upstream answers.
+    /// Whether the upstream responds.
     pub upstream_up: bool,
-    /// Whether new work is refused because the process or its host leaves.
+    /// Whether new work is rejected because the process or its host is draining.
     pub leaving: bool,
-    /// Whether the upstream says that it leaves.
+    /// Whether the upstream announces that it is draining.
     pub upstream_leaving: bool,
-    /// How long entries are to send nothing, as the upstream rests or leaves.
+    /// How long entries should send nothing, in milliseconds.
     pub rest_left_ms: u64,
-    /// Requests a second that the upstream takes, where it names a limit.
+    /// Rate limit that the upstream announces, in requests per second.
     pub upstream_limit: Option<f64>,
-    /// Bundle in force, 0 for none.
+    /// Version of the bundle in force, 0 for none.
     pub bundle: BundleVersion,
-    /// Attempts at the upstream.
+    /// Number of attempts in flight at the upstream.
     pub running: usize,
-    /// Attempts that wait.
+    /// Number of queued attempts.
     pub waiting: usize,
-    /// Places at the upstream.
+    /// Maximum number of concurrent attempts at the upstream.
     pub capacity: usize,
-    /// Attempts at the upstream by class, most urgent first.
+    /// Number of attempts in flight by class, most urgent first.
     pub running_by_class: [usize; 3],
-    /// Marks kept against late copies.
+    /// Number of marks kept to reject late copies.
     pub marks: usize,
-    /// Runs on record that must not happen twice.
+    /// Number of recorded runs that must not happen twice.
     pub once_runs: usize,
-    /// Run of the engine, 0 for none.
+    /// Incarnation of the engine, 0 for none.
     pub engine_incarnation: Incarnation,
-    /// Term of this agent at its engine.
+    /// Term of this agent at its engine, 0 for none.
     pub engine_term: u64,
     /// Whether another agent has taken the engine over.
     pub superseded: bool,
-    /// Loads done since the engine was taken over.
+    /// Number of loads completed since this agent first took over the engine.
     pub loads_done: u64,
     /// Number of adapter slots.
     pub slots_total: usize,
-    /// Slots in use.
+    /// Occupied slots.
     pub slots: Vec<SlotView>,
 }
 
 impl AgentMachine {
-    /// The state at this time.
+    /// Returns the state at this time.
     ///
     /// ```
     /// use std::time::Duration;
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Tells whether new work is refused because the process or its host leaves.
+    /// Returns whether new work is rejected because the process or its host is draining, or because
+    /// another agent has taken the engine over.
     ///
     /// ```
     /// use std::time::Duration;
@@ -129,7 +130,7 @@
         self.is_stopping || self.host_state == HostState::Leaving || is_superseded
     }
 
-    /// Tells whether new work would be taken.
+    /// Returns whether the agent is able to accept work.
     ///
     /// ```
     /// use std::time::Duration;
@@ -145,7 +146,7 @@
         self.bundle.is_some() && self.check_presence().is_ok()
     }
 
-    /// The news that go with each answer.
+    /// Returns the status that is sent to entries with each response.
     ///
     /// ```
     /// use std::time::Duration;
