--- a/quillcove_core/src/agent/waiting.rs
+++ b/quillcove_core/src/agent/waiting.rs
@@ -1,4 +1,4 @@
-//! Attempts that wait for an adapter or for a place in the upstream.
+//! Queue of attempts that wait for an adapter or for capacity of the upstream.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,18 +8,18 @@
 use crate::ids::{AttemptId, MonoTime};
 use crate::once::book::OnceKey;
 
-/// One waiting attempt.
+/// A queued attempt.
 #[derive(Clone, Debug)]
 pub struct WaitingAttempt {
-    /// What was asked.
+    /// The request to run the attempt.
     pub order: RunOrder,
-    /// The claimed right to run once, where the order had a claim.
+    /// Key of the run-once claim, if the attempt has one.
     pub once: Option<OnceKey>,
-    /// Arrival.
+    /// Time of arrival.
     pub since: MonoTime,
 }
 
-/// Queues by target, bounded in sum.
+/// Waiting attempts, in one queue per target. The agent bounds their total number.
 #[derive(Clone, Debug, Default)]
 pub struct WaitingRoom {
     queues: BTreeMap<WorkTarget, VecDeque<WaitingAttempt>>,
@@ -27,7 +27,7 @@
 }
 
 impl WaitingRoom {
-    /// Number of waiting attempts.
+    /// Returns the number of waiting attempts.
     ///
     /// ```
     /// use quillcove_core::agent::waiting::WaitingRoom;
@@ -38,7 +38,7 @@
         self.count
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no attempt waits.
     ///
     /// ```
     /// use quillcove_core::agent::waiting::WaitingRoom;
@@ -49,7 +49,7 @@
         self.count == 0
     }
 
-    /// Adds an attempt behind the others of its class.
+    /// Inserts an attempt behind the others of its class for its target.
     ///
     /// ```no_run
     /// # use quillcove_core::agent::waiting::{WaitingAttempt, WaitingRoom};
@@ -65,7 +65,7 @@
         self.count += 1;
     }
 
-    /// Takes one attempt out.
+    /// Removes and returns one attempt.
     ///
     /// ```
     /// use quillcove_core::agent::waiting::WaitingRoom;
@@ -82,7 +82,7 @@
         attempt
     }
 
-    /// Takes all attempts that a test selects.
+    /// Removes and returns all attempts that `is_selected` accepts.
     ///
     /// ```
     /// use quillcove_core::agent::waiting::WaitingRoom;
@@ -108,7 +108,8 @@
         taken
     }
 
-    /// The first attempt, by class and then arrival, among targets and classes that tests admit.
+    /// Returns the first attempt, by class and then arrival, among the targets that `is_ready` and
+    /// the classes that `is_admitted` accept.
     ///
     /// ```
     /// use quillcove_core::agent::waiting::WaitingRoom;
@@ -127,7 +128,7 @@
         first.map(|head| head.order.attempt)
     }
 
-    /// Batch-class attempts for targets that a test admits.
+    /// Returns the batch-class attempts whose targets `is_ready` accepts.
     ///
     /// ```
     /// use quillcove_core::agent::waiting::WaitingRoom;
@@ -140,7 +141,8 @@
         attempts.filter(|attempt| attempt.order.class == WorkClass::Batch).collect()
     }
 
-    /// All of them in the order in which they start where all are ready: by class and then arrival.
+    /// Returns all attempts in the order in which they start once their targets are ready: by class
+    /// and then arrival.
     ///
     /// ```
     /// use quillcove_core::agent::waiting::WaitingRoom;
@@ -153,8 +155,8 @@
         all
     }
 
-    /// Takes the last attempt of the least urgent class, when it is less urgent than the given
-    /// one, to make room.
+    /// Removes and returns the latest attempt of the least urgent class, if that class is less
+    /// urgent than `class`, to free a place in the queue.
     ///
     /// ```
     /// use quillcove_core::agent::waiting::WaitingRoom;
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Tells whether an attempt waits for the adapter.
+    /// Returns whether an attempt waits for the adapter.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -193,7 +195,7 @@
         self.queues.contains_key(&WorkTarget::Adapter(adapter.clone()))
     }
 
-    /// Adapters that attempts wait for, each with its queue.
+    /// Iterates over the adapters that attempts wait for, each with its queue.
     ///
     /// ```
     /// use quillcove_core::agent::waiting::WaitingRoom;
