--- a/quillcove_core/src/agent/engine.rs
+++ b/quillcove_core/src/agent/engine.rs
@@ -10,16 +10,16 @@
 use crate::ids::{BundleVersion, Incarnation, MonoTime};
 
 /// Load time assumed until the first load has been measured.
-const FIRST_LOAD_TIME: Duration = Duration::from_secs(1);
+const INITIAL_LOAD_TIME: Duration = Duration::from_secs(1);
 
 /// Smoothing factor of the moving average of load times.
-const LOAD_TIME_GAIN: f64 = 0.2;
+const LOAD_TIME_SMOOTHING: f64 = 0.2;
 
 /// Backoff after the first failed load; doubles with each further failure.
-const FIRST_BACKOFF: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Upper bound of the backoff after failed loads.
-const LAST_BACKOFF: Duration = Duration::from_secs(30);
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
 /// Progress of a load; an agent runs one load at a time.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,7 +27,7 @@
     /// Adapter to load.
     pub adapter: AdapterRef,
     /// Start time of the plan.
-    pub since: MonoTime,
+    pub started_at: MonoTime,
     /// Whether a permit of the load rate coordinator is held.
     pub has_permit: bool,
     /// Current stage.
@@ -38,11 +38,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanStage {
     /// A permit was requested.
-    Asking,
+    PermitRequested,
     /// An order was sent and its outcome is pending.
-    Ordered(EngineOrder),
+    OrderPending(EngineOrder),
     /// An order got no response; no other order is sent before this time.
-    Unsure(OrderKind, MonoTime),
+    Unanswered(OrderKind, MonoTime),
 }
 
 /// Whether this agent is the only one whose orders the engine accepts.
@@ -52,7 +52,7 @@
     /// an earlier agent or from before the engine's restart.
     Needed,
     /// The claim order was sent and its outcome is pending.
-    Ordered(OrderFence),
+    OrderPending(OrderFence),
     /// Orders in transit may still take effect until this time. Used after an unanswered claim
     /// order, or with an engine that does not check fences.
     Waiting(MonoTime),
@@ -75,9 +75,9 @@
     /// Incarnation of the engine.
     pub incarnation: Incarnation,
     /// Number of requests in one batch.
-    pub batch: usize,
+    pub batch_size: usize,
     /// Adapter slots.
-    pub table: SlotTable,
+    pub slot_table: SlotTable,
     /// Whether this agent is the only one whose orders the engine accepts.
     pub claim: ClaimState,
     /// Load in progress.
@@ -91,7 +91,7 @@
     pub load_time: Duration,
     /// Time since which some adapter has been waiting to be loaded without interruption; restarts
     /// with each load.
-    pub wanted_since: Option<MonoTime>,
+    pub load_needed_since: Option<MonoTime>,
     /// Backoffs by adapter.
     pub backoffs: BTreeMap<AdapterRef, LoadBackoff>,
     /// Number of completed loads.
@@ -119,14 +119,14 @@
     pub fn take_over(report: &EngineReport, least_term: u64, settle_until: MonoTime) -> Self {
         Self {
             incarnation: report.incarnation,
-            batch: report.batch.max(1),
-            table: SlotTable::from_report(report, Duration::ZERO),
+            batch_size: report.batch.max(1),
+            slot_table: SlotTable::from_report(report, Duration::ZERO),
             claim: ClaimState::Needed,
             plan: None,
             settle_until,
             is_superseded: false,
-            load_time: FIRST_LOAD_TIME,
-            wanted_since: None,
+            load_time: INITIAL_LOAD_TIME,
+            load_needed_since: None,
             backoffs: BTreeMap::new(),
             loads_done: 0,
             last_fence: report.highest_fence,
@@ -145,9 +145,9 @@
     ///
     /// let report = EngineReport::default();
     /// let engine = EngineState::take_over(&report, 5, Duration::ZERO);
-    /// assert!(engine.restarted(&report, Duration::ZERO).term() > engine.term());
+    /// assert!(engine.after_restart(&report, Duration::ZERO).term() > engine.term());
     /// ```
-    pub fn restarted(&self, report: &EngineReport, settle_until: MonoTime) -> Self {
+    pub fn after_restart(&self, report: &EngineReport, settle_until: MonoTime) -> Self {
         let next = Self::take_over(report, self.term + 1, settle_until);
         Self { load_time: self.load_time, loads_done: self.loads_done, ..next }
     }
@@ -193,11 +193,12 @@
     ///
     /// let report = EngineReport::default();
     /// let engine = EngineState::take_over(&report, 0, Duration::ZERO);
-    /// assert!(engine.shows_all_orders(&report, true));
+    /// assert!(engine.reflects_all_orders(&report, true));
     /// ```
-    pub fn shows_all_orders(&self, report: &EngineReport, checks_fence: bool) -> bool {
-        let is_caught_up = !checks_fence || report.highest_fence >= self.last_fence;
-        self.plan.as_ref().is_none_or(|plan| plan.stage == PlanStage::Asking) && is_caught_up
+    pub fn reflects_all_orders(&self, report: &EngineReport, checks_fence: bool) -> bool {
+        let has_seen_fence = !checks_fence || report.highest_fence >= self.last_fence;
+        self.plan.as_ref().is_none_or(|plan| plan.stage == PlanStage::PermitRequested)
+            && has_seen_fence
     }
 
     /// Records a fence that the engine has seen, and marks this agent as superseded if the fence
@@ -210,10 +211,10 @@
     /// use quillcove_core::fence::OrderFence;
     ///
     /// let mut engine = EngineState::take_over(&EngineReport::default(), 0, Duration::ZERO);
-    /// engine.note_fence(OrderFence { bundle: 1, term: 9, sequence: 1 });
+    /// engine.record_fence(OrderFence { bundle: 1, term: 9, sequence: 1 });
     /// assert!(engine.is_superseded);
     /// ```
-    pub fn note_fence(&mut self, fence: OrderFence) {
+    pub fn record_fence(&mut self, fence: OrderFence) {
         self.seen_fence = self.seen_fence.max(fence);
         if fence.term > self.term {
             self.is_superseded = true;
@@ -233,7 +234,7 @@
     /// ```
     pub fn is_loading(&self, adapter: &AdapterRef) -> bool {
         let planned = self.plan.as_ref().filter(|plan| plan.adapter == *adapter);
-        planned.is_some_and(|plan| plan.stage != PlanStage::Asking)
+        planned.is_some_and(|plan| plan.stage != PlanStage::PermitRequested)
     }
 
     /// Records a completed load and how long it took.
@@ -245,14 +246,14 @@
     /// use quillcove_core::agent::event::EngineReport;
     ///
     /// let mut engine = EngineState::take_over(&EngineReport::default(), 0, Duration::ZERO);
-    /// engine.note_load(&AdapterRef::new("shuttle", 1), Duration::from_secs(2));
+    /// engine.record_load(&AdapterRef::new("shuttle", 1), Duration::from_secs(2));
     /// assert_eq!(engine.load_time, Duration::from_millis(1200));
     /// ```
-    pub fn note_load(&mut self, adapter: &AdapterRef, took: Duration) {
+    pub fn record_load(&mut self, adapter: &AdapterRef, took: Duration) {
         self.loads_done += 1;
         self.backoffs.remove(adapter);
         let old = self.load_time.as_secs_f64();
-        let new = old + (took.as_secs_f64() - old) * LOAD_TIME_GAIN;
+        let new = old + (took.as_secs_f64() - old) * LOAD_TIME_SMOOTHING;
         self.load_time = Duration::from_secs_f64(new);
     }
 
@@ -266,12 +267,12 @@
     ///
     /// let mut engine = EngineState::take_over(&EngineReport::default(), 0, Duration::ZERO);
     /// let adapter = AdapterRef::new("shuttle", 1);
-    /// let first = engine.note_failed_load(&adapter, Duration::ZERO);
-    /// assert_eq!(engine.note_failed_load(&adapter, Duration::ZERO), first * 2);
+    /// let first = engine.record_failed_load(&adapter, Duration::ZERO);
+    /// assert_eq!(engine.record_failed_load(&adapter, Duration::ZERO), first * 2);
     /// ```
-    pub fn note_failed_load(&mut self, adapter: &AdapterRef, now: MonoTime) -> Duration {
+    pub fn record_failed_load(&mut self, adapter: &AdapterRef, now: MonoTime) -> Duration {
         let before = self.backoffs.get(adapter).map(|backoff| backoff.pause);
-        let pause = before.map_or(FIRST_BACKOFF, |pause| (pause * 2).min(LAST_BACKOFF));
+        let pause = before.map_or(INITIAL_BACKOFF, |pause| (pause * 2).min(MAX_BACKOFF));
         self.backoffs.insert(adapter.clone(), LoadBackoff { until: now + pause, pause });
         pause
     }
--- a/quillcove_core/src/agent/loads.rs
+++ b/quillcove_core/src/agent/loads.rs
@@ -31,7 +31,7 @@
     pub(super) fn expected_wait(&self, now: MonoTime, order: &RunOrder) -> Duration {
         let WorkTarget::Adapter(adapter) = &order.target else { return Duration::ZERO };
         let Some(engine) = &self.engine else { return Duration::ZERO };
-        if engine.table.get(adapter).is_some() || engine.is_loading(adapter) {
+        if engine.slot_table.get(adapter).is_some() || engine.is_loading(adapter) {
             return Duration::ZERO;
         }
         let own = order.class.weight() * self.priority_weight(adapter);
@@ -46,7 +46,7 @@
     fn line_of_loads(&self, now: MonoTime) -> Vec<(AdapterRef, f64)> {
         let Some(engine) = &self.engine else { return Vec::new() };
         let wanted = self.room.adapters().filter(|(adapter, _)| {
-            engine.table.get(adapter).is_none() && !engine.is_loading(adapter)
+            engine.slot_table.get(adapter).is_none() && !engine.is_loading(adapter)
         });
         let valued =
             wanted.map(|(adapter, queue)| (adapter.clone(), self.load_value(now, adapter, queue)));
@@ -108,9 +108,9 @@
         }
         match engine.plan.as_ref().map(|plan| plan.stage.clone()) {
             None => self.begin_load(now, &bundle, out),
-            Some(PlanStage::Asking | PlanStage::Ordered(_)) => {},
-            Some(PlanStage::Unsure(_, until)) if now < until => {},
-            Some(PlanStage::Unsure(kind, _)) => self.settle_unsure(&bundle, kind, out),
+            Some(PlanStage::PermitRequested | PlanStage::OrderPending(_)) => {},
+            Some(PlanStage::Unanswered(_, until)) if now < until => {},
+            Some(PlanStage::Unanswered(kind, _)) => self.settle_unsure(&bundle, kind, out),
         }
     }
 
@@ -128,8 +128,12 @@
             return;
         };
         let is_paced = self.rules.pacing == PacingRule::Keeper;
-        engine.plan =
-            Some(LoadPlan { adapter, since: now, has_permit: false, stage: PlanStage::Asking });
+        engine.plan = Some(LoadPlan {
+            adapter,
+            started_at: now,
+            has_permit: false,
+            stage: PlanStage::PermitRequested,
+        });
         match is_paced {
             true => out.push(AgentAction::AskPermit(value)),
             false => self.order_next(now, out),
@@ -140,8 +144,8 @@
     fn note_wanted(&mut self, now: MonoTime, is_wanted: bool) {
         let Some(engine) = &mut self.engine else { return };
         match is_wanted {
-            true => engine.wanted_since = engine.wanted_since.or(Some(now)),
-            false => engine.wanted_since = None,
+            true => engine.load_needed_since = engine.load_needed_since.or(Some(now)),
+            false => engine.load_needed_since = None,
         }
     }
 
@@ -149,7 +153,7 @@
     fn next_load(&self, now: MonoTime) -> Option<(AdapterRef, f64)> {
         let engine = self.engine.as_ref()?;
         let wanted = self.room.adapters().filter(|(adapter, _)| {
-            engine.table.get(adapter).is_none() && !engine.is_backing_off(adapter, now)
+            engine.slot_table.get(adapter).is_none() && !engine.is_backing_off(adapter, now)
         });
         let valued = wanted.map(|(adapter, queue)| {
             let value = self.load_value(now, adapter, queue);
@@ -173,7 +177,7 @@
         value: f64,
     ) -> Option<Option<AdapterRef>> {
         let engine = self.engine.as_ref()?;
-        if engine.table.has_free() {
+        if engine.slot_table.has_free() {
             return Some(None);
         }
         if now < engine.settle_until {
@@ -186,7 +190,7 @@
             bundle,
         };
         let is_in_use = |other: &AdapterRef| self.room.wants(other) || self.pins(other) > 0;
-        let victim = rank.victim(&engine.table, is_in_use, now)?;
+        let victim = rank.victim(&engine.slot_table, is_in_use, now)?;
         if self.rules.evict == EvictRule::Lru {
             return Some(Some(victim));
         }
@@ -205,7 +209,7 @@
     ) {
         let engine = self.engine.as_mut();
         let asking = engine.filter(|engine| {
-            engine.plan.as_ref().is_some_and(|plan| plan.stage == PlanStage::Asking)
+            engine.plan.as_ref().is_some_and(|plan| plan.stage == PlanStage::PermitRequested)
         });
         let Some(engine) = asking else {
             if answer == PermitAnswer::Granted {
@@ -213,7 +217,7 @@
             }
             return;
         };
-        let asked = engine.plan.as_ref().map_or(now, |plan| plan.since);
+        let asked = engine.plan.as_ref().map_or(now, |plan| plan.started_at);
         match answer {
             PermitAnswer::Granted if now.saturating_sub(asked) > ANSWER_LIFETIME => {
                 engine.plan = None;
--- a/quillcove_core/src/agent/mod.rs
+++ b/quillcove_core/src/agent/mod.rs
@@ -253,11 +253,11 @@
             Some(engine) if engine.incarnation == report.incarnation => engine,
             other => return self.take_over(now, other, report, out),
         };
-        engine.note_fence(report.highest_fence);
+        engine.record_fence(report.highest_fence);
         let is_settling = now < engine.settle_until;
-        let shows_all = engine.shows_all_orders(report, self.rules.checks_fence);
+        let reflects_all = engine.reflects_all_orders(report, self.rules.checks_fence);
         let pins = |adapter: &AdapterRef| self.pins(adapter);
-        engine.table.update(report, pins, is_settling, shows_all, now);
+        engine.slot_table.update(report, pins, is_settling, reflects_all, now);
         self.engine = Some(engine);
     }
 
@@ -274,7 +274,7 @@
         }
         let settle_until = now + self.rules.settle_time;
         let mut engine = match before {
-            Some(before) => before.restarted(report, settle_until),
+            Some(before) => before.after_restart(report, settle_until),
             None => EngineState::take_over(report, self.rules.least_term, settle_until),
         };
         if !self.rules.checks_fence {
--- a/quillcove_core/src/agent/orders.rs
+++ b/quillcove_core/src/agent/orders.rs
@@ -25,7 +25,7 @@
         let Some(engine) = &mut self.engine else { return false };
         match engine.claim {
             ClaimState::Held => return !engine.is_superseded,
-            ClaimState::Ordered(_) => return false,
+            ClaimState::OrderPending(_) => return false,
             ClaimState::Waiting(until) if now < until => return false,
             ClaimState::Waiting(_) if !self.rules.checks_fence => {
                 engine.claim = ClaimState::Held;
@@ -35,7 +35,7 @@
         }
         if !engine.is_superseded && self.is_upstream_up {
             let order = engine.next_order(bundle, OrderKind::Claim);
-            engine.claim = ClaimState::Ordered(order.fence);
+            engine.claim = ClaimState::OrderPending(order.fence);
             out.push(AgentAction::Send(order));
         }
         false
@@ -57,9 +57,9 @@
             },
         };
         match end {
-            OrderEnd::Done => engine.note_fence(fence),
+            OrderEnd::Done => engine.record_fence(fence),
             OrderEnd::Stale(highest) => {
-                engine.note_fence(highest);
+                engine.record_fence(highest);
                 self.witness(highest.bundle, out);
             },
             OrderEnd::Failed | OrderEnd::Unknown => {},
@@ -77,9 +77,9 @@
             return;
         };
         match &kind {
-            OrderKind::Load(adapter) => engine.table.add(adapter, SlotState::Loading, now),
+            OrderKind::Load(adapter) => engine.slot_table.add(adapter, SlotState::Loading, now),
             OrderKind::Unload(adapter) => {
-                if let Some(slot) = engine.table.get_mut(adapter) {
+                if let Some(slot) = engine.slot_table.get_mut(adapter) {
                     slot.state = SlotState::Unloading;
                 }
             },
@@ -99,7 +99,7 @@
         let Some(engine) = &mut self.engine else {
             return;
         };
-        if engine.claim == ClaimState::Ordered(fence) {
+        if engine.claim == ClaimState::OrderPending(fence) {
             return self.end_claim(now, fence, end, out);
         }
         let Some(order) = current_order(engine, fence) else {
@@ -109,7 +109,7 @@
             OrderEnd::Done => self.order_done(now, &order, out),
             OrderEnd::Failed => self.order_failed(now, &order, out),
             OrderEnd::Stale(highest) => {
-                engine.note_fence(highest);
+                engine.record_fence(highest);
                 undo(engine, &order.kind);
                 self.drop_plan(out);
                 self.witness(highest.bundle, out);
@@ -120,7 +120,7 @@
                     false => self.rules.order_lifetime,
                 };
                 if let Some(plan) = &mut engine.plan {
-                    plan.stage = PlanStage::Unsure(order.kind, now + pause);
+                    plan.stage = PlanStage::Unanswered(order.kind, now + pause);
                 }
             },
         }
@@ -130,20 +130,20 @@
         let Some(engine) = &mut self.engine else {
             return;
         };
-        engine.note_fence(order.fence);
+        engine.record_fence(order.fence);
         match &order.kind {
             OrderKind::Unload(adapter) => {
-                engine.table.remove(adapter);
+                engine.slot_table.remove(adapter);
                 self.order_next(now, out);
             },
             OrderKind::Claim => {},
             OrderKind::Load(adapter) => {
-                if let Some(slot) = engine.table.get_mut(adapter) {
+                if let Some(slot) = engine.slot_table.get_mut(adapter) {
                     slot.state = SlotState::Ready;
                     slot.used = now;
                 }
-                let since = engine.wanted_since.replace(now).unwrap_or(now);
-                engine.note_load(adapter, now.saturating_sub(since));
+                let since = engine.load_needed_since.replace(now).unwrap_or(now);
+                engine.record_load(adapter, now.saturating_sub(since));
                 self.drop_plan(out);
             },
         }
@@ -157,7 +157,7 @@
         };
         undo(engine, &order.kind);
         if let OrderKind::Load(adapter) = &order.kind {
-            let pause = engine.note_failed_load(adapter, now);
+            let pause = engine.record_failed_load(adapter, now);
             let refusal = WorkRefusal::not_run(RefusalReason::LoadFailed, Some(pause));
             let target = WorkTarget::Adapter(adapter.clone());
             for attempt in self.room.take_where(|attempt| attempt.order.target == target) {
@@ -181,7 +181,7 @@
         };
         if !self.rules.checks_fence {
             if let OrderKind::Load(adapter) | OrderKind::Unload(adapter) = &kind {
-                engine.table.remove(adapter);
+                engine.slot_table.remove(adapter);
             }
             return self.drop_plan(out);
         }
@@ -198,14 +198,14 @@
 ) {
     let order = engine.next_order(bundle.version, kind);
     if let Some(plan) = &mut engine.plan {
-        plan.stage = PlanStage::Ordered(order.clone());
+        plan.stage = PlanStage::OrderPending(order.clone());
     }
     out.push(AgentAction::Send(order));
 }
 
 fn current_order(engine: &EngineState, fence: OrderFence) -> Option<EngineOrder> {
     match &engine.plan.as_ref()?.stage {
-        PlanStage::Ordered(order) if order.fence == fence => Some(order.clone()),
+        PlanStage::OrderPending(order) if order.fence == fence => Some(order.clone()),
         _ => None,
     }
 }
@@ -213,9 +213,9 @@
 /// Reverts the state of a slot after an order that was not executed.
 fn undo(engine: &mut EngineState, kind: &OrderKind) {
     match kind {
-        OrderKind::Load(adapter) => engine.table.remove(adapter),
+        OrderKind::Load(adapter) => engine.slot_table.remove(adapter),
         OrderKind::Unload(adapter) => {
-            if let Some(slot) = engine.table.get_mut(adapter) {
+            if let Some(slot) = engine.slot_table.get_mut(adapter) {
                 slot.state = SlotState::Ready;
             }
         },
--- a/quillcove_core/src/agent/running.rs
+++ b/quillcove_core/src/agent/running.rs
@@ -24,7 +24,7 @@
     fn is_target_ready(&self, target: &WorkTarget) -> bool {
         match (target, &self.engine) {
             (WorkTarget::Service, _) => true,
-            (WorkTarget::Adapter(adapter), Some(engine)) => engine.table.is_ready(adapter),
+            (WorkTarget::Adapter(adapter), Some(engine)) => engine.slot_table.is_ready(adapter),
             (WorkTarget::Adapter(_), None) => false,
         }
     }
@@ -68,7 +68,7 @@
     pub(super) fn capacity(&self) -> usize {
         match (self.rules.kind, &self.engine) {
             (UpstreamKind::Service, _) => self.rules.service_limit,
-            (UpstreamKind::Engine, Some(engine)) => engine.batch + self.rules.engine_margin,
+            (UpstreamKind::Engine, Some(engine)) => engine.batch_size + self.rules.engine_margin,
             (UpstreamKind::Engine, None) => 0,
         }
     }
@@ -107,7 +107,7 @@
     fn note_use(&mut self, now: MonoTime, target: &WorkTarget) {
         let Some(engine) = &mut self.engine else { return };
         let WorkTarget::Adapter(adapter) = target else { return };
-        if let Some(slot) = engine.table.get_mut(adapter) {
+        if let Some(slot) = engine.slot_table.get_mut(adapter) {
             slot.used = now;
         }
     }
--- a/quillcove_core/src/agent/view.rs
+++ b/quillcove_core/src/agent/view.rs
@@ -107,7 +107,7 @@
             engine_term: engine.map_or(0, |engine| engine.term()),
             superseded: engine.is_some_and(|engine| engine.is_superseded),
             loads_done: engine.map_or(0, |engine| engine.loads_done),
-            slots_total: engine.map_or(0, |engine| engine.table.total),
+            slots_total: engine.map_or(0, |engine| engine.slot_table.total),
             slots: self.slot_views(now),
         }
     }
@@ -185,7 +185,7 @@
                 demand: meter.map_or(0.0, |meter| meter.rate(now, self.rules.half_life)),
             }
         };
-        engine.table.iter().map(view).collect()
+        engine.slot_table.iter().map(view).collect()
     }
 }
 
