--- a/quillcove_core/src/agent/loads.rs
+++ b/quillcove_core/src/agent/loads.rs
@@ -6,7 +6,7 @@
 use super::AgentMachine;
 use super::engine::{LoadPlan, PlanStage};
 use super::event::{AgentAction, EvictRule, LoadRule, OrderKind, PacingRule, RunOrder, WorkTarget};
-use super::slots::{EvictRank, priority_weight};
+use super::slots::{EvictionRanking, priority_weight};
 use super::waiting::WaitingAttempt;
 use crate::adapter::AdapterRef;
 use crate::bundle::FleetBundle;
@@ -177,25 +177,25 @@
         value: f64,
     ) -> Option<Option<AdapterRef>> {
         let engine = self.engine.as_ref()?;
-        if engine.slot_table.has_free() {
+        if engine.slot_table.has_free_slot() {
             return Some(None);
         }
         if now < engine.settle_until {
             return None;
         }
-        let rank = EvictRank {
+        let ranking = EvictionRanking {
             rule: self.rules.evict,
             demand: &self.demand,
             half_life: self.rules.half_life,
             bundle,
         };
         let is_in_use = |other: &AdapterRef| self.room.wants(other) || self.pins(other) > 0;
-        let victim = rank.victim(&engine.slot_table, is_in_use, now)?;
+        let victim = ranking.victim(&engine.slot_table, is_in_use, now)?;
         if self.rules.evict == EvictRule::Lru {
             return Some(Some(victim));
         }
-        let keep = rank.value(&victim, now) * KEEP_HORIZON_SECS * self.rules.evict_margin;
-        let expected = rank.value(adapter, now) * KEEP_HORIZON_SECS;
+        let keep = ranking.value(&victim, now) * KEEP_HORIZON_SECS * self.rules.evict_margin;
+        let expected = ranking.value(adapter, now) * KEEP_HORIZON_SECS;
         let gain = value / WorkClass::Normal.weight() + expected;
         (gain >= keep).then_some(Some(victim))
     }
--- a/quillcove_core/src/agent/orders.rs
+++ b/quillcove_core/src/agent/orders.rs
@@ -140,7 +140,7 @@
             OrderKind::Load(adapter) => {
                 if let Some(slot) = engine.slot_table.get_mut(adapter) {
                     slot.state = SlotState::Ready;
-                    slot.used = now;
+                    slot.last_used = now;
                 }
                 let since = engine.load_needed_since.replace(now).unwrap_or(now);
                 engine.record_load(adapter, now.saturating_sub(since));
--- a/quillcove_core/src/agent/running.rs
+++ b/quillcove_core/src/agent/running.rs
@@ -108,7 +108,7 @@
         let Some(engine) = &mut self.engine else { return };
         let WorkTarget::Adapter(adapter) = target else { return };
         if let Some(slot) = engine.slot_table.get_mut(adapter) {
-            slot.used = now;
+            slot.last_used = now;
         }
     }
 
--- a/quillcove_core/src/agent/slots.rs
+++ b/quillcove_core/src/agent/slots.rs
@@ -27,9 +27,9 @@
     pub state: SlotState,
     /// Number of requests of an earlier agent that may still run. Only falls, except during the
     /// settle time after a takeover.
-    pub foreign: usize,
+    pub inherited_requests: usize,
     /// Time of the last use.
-    pub used: MonoTime,
+    pub last_used: MonoTime,
 }
 
 /// All slots of one process start of the engine.
@@ -49,7 +49,7 @@
     /// use quillcove_core::agent::slots::SlotTable;
     ///
     /// let report = EngineReport { slots: 4, ..EngineReport::default() };
-    /// assert!(SlotTable::from_report(&report, Duration::ZERO).has_free());
+    /// assert!(SlotTable::from_report(&report, Duration::ZERO).has_free_slot());
     /// ```
     pub fn from_report(report: &EngineReport, now: MonoTime) -> Self {
         let mut table = Self { total: report.slots, slots: BTreeMap::new() };
@@ -58,7 +58,7 @@
         }
         for (adapter, running) in &report.running {
             if let Some(slot) = table.slots.get_mut(adapter) {
-                slot.foreign = *running;
+                slot.inherited_requests = *running;
             }
         }
         table
@@ -76,7 +76,7 @@
     /// assert!(table.is_ready(&AdapterRef::new("shuttle", 1)));
     /// ```
     pub fn add(&mut self, adapter: &AdapterRef, state: SlotState, now: MonoTime) {
-        let slot = AdapterSlot { state, foreign: 0, used: now };
+        let slot = AdapterSlot { state, inherited_requests: 0, last_used: now };
         self.slots.insert(adapter.clone(), slot);
     }
 
@@ -144,9 +144,9 @@
     /// ```
     /// use quillcove_core::agent::slots::SlotTable;
     ///
-    /// assert!(!SlotTable::default().has_free());
+    /// assert!(!SlotTable::default().has_free_slot());
     /// ```
-    pub fn has_free(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.slots.len() < self.total
     }
 
@@ -167,25 +167,25 @@
         &mut self,
         report: &EngineReport,
         pins: impl Fn(&AdapterRef) -> usize,
-        settling: bool,
-        orders_seen: bool,
+        is_settling: bool,
+        reflects_orders: bool,
         now: MonoTime,
     ) {
         for (adapter, slot) in &mut self.slots {
             let running = report.running.iter().find(|(other, _)| other == adapter);
             let running = running.map_or(0, |(_, count)| *count);
-            slot.foreign = match settling {
-                true => slot.foreign.max(running.saturating_sub(pins(adapter))),
-                false => slot.foreign.min(running),
+            slot.inherited_requests = match is_settling {
+                true => slot.inherited_requests.max(running.saturating_sub(pins(adapter))),
+                false => slot.inherited_requests.min(running),
             };
         }
-        if !orders_seen {
+        if !reflects_orders {
             return;
         }
-        let lost = |adapter: &AdapterRef, slot: &AdapterSlot| {
+        let is_lost = |adapter: &AdapterRef, slot: &AdapterSlot| {
             slot.state == SlotState::Ready && pins(adapter) == 0 && !report.loaded.contains(adapter)
         };
-        self.slots.retain(|adapter, slot| !lost(adapter, slot));
+        self.slots.retain(|adapter, slot| !is_lost(adapter, slot));
         for adapter in &report.loaded {
             if !self.slots.contains_key(adapter) {
                 self.add(adapter, SlotState::Ready, now);
@@ -195,7 +195,7 @@
 }
 
 /// Ranks loaded adapters for eviction.
-pub struct EvictRank<'a> {
+pub struct EvictionRanking<'a> {
     /// Rule that selects the adapter.
     pub rule: EvictRule,
     /// Demand by adapter.
@@ -206,7 +206,7 @@
     pub bundle: &'a FleetBundle,
 }
 
-impl EvictRank<'_> {
+impl EvictionRanking<'_> {
     /// Returns the value of keeping an adapter loaded: its expected requests per second, weighted
     /// by priority, or zero if the bundle no longer serves it.
     ///
@@ -215,16 +215,16 @@
     /// use std::time::Duration;
     /// use quillcove_core::adapter::AdapterRef;
     /// use quillcove_core::agent::event::EvictRule;
-    /// use quillcove_core::agent::slots::EvictRank;
+    /// use quillcove_core::agent::slots::EvictionRanking;
     /// use quillcove_core::bundle::FleetBundle;
     ///
-    /// let rank = EvictRank {
+    /// let ranking = EvictionRanking {
     ///     rule: EvictRule::Value,
     ///     demand: &BTreeMap::new(),
     ///     half_life: Duration::from_secs(30),
     ///     bundle: &FleetBundle::default(),
     /// };
-    /// assert_eq!(rank.value(&AdapterRef::new("shuttle", 1), Duration::ZERO), 0.0);
+    /// assert_eq!(ranking.value(&AdapterRef::new("shuttle", 1), Duration::ZERO), 0.0);
     /// ```
     pub fn value(&self, adapter: &AdapterRef, now: MonoTime) -> f64 {
         if !self.bundle.serves(adapter) {
@@ -242,16 +242,16 @@
     /// use std::collections::BTreeMap;
     /// use std::time::Duration;
     /// use quillcove_core::agent::event::EvictRule;
-    /// use quillcove_core::agent::slots::{EvictRank, SlotTable};
+    /// use quillcove_core::agent::slots::{EvictionRanking, SlotTable};
     /// use quillcove_core::bundle::FleetBundle;
     ///
-    /// let rank = EvictRank {
+    /// let ranking = EvictionRanking {
     ///     rule: EvictRule::Lru,
     ///     demand: &BTreeMap::new(),
     ///     half_life: Duration::from_secs(30),
     ///     bundle: &FleetBundle::default(),
     /// };
-    /// assert!(rank.victim(&SlotTable::default(), |_| false, Duration::ZERO).is_none());
+    /// assert!(ranking.victim(&SlotTable::default(), |_| false, Duration::ZERO).is_none());
     /// ```
     pub fn victim(
         &self,
@@ -260,14 +260,14 @@
         now: MonoTime,
     ) -> Option<AdapterRef> {
         let idle = table.iter().filter(|(adapter, slot)| {
-            slot.state == SlotState::Ready && slot.foreign == 0 && !is_in_use(adapter)
+            slot.state == SlotState::Ready && slot.inherited_requests == 0 && !is_in_use(adapter)
         });
-        let oldest = |slot: &AdapterSlot| slot.used;
+        let last_used_at = |slot: &AdapterSlot| slot.last_used;
         let chosen = match self.rule {
-            EvictRule::Lru => idle.min_by_key(|(_, slot)| oldest(slot)),
+            EvictRule::Lru => idle.min_by_key(|(_, slot)| last_used_at(slot)),
             EvictRule::Value => idle.min_by(|(a, slot_a), (b, slot_b)| {
                 let order = self.value(a, now).total_cmp(&self.value(b, now));
-                order.then(oldest(slot_a).cmp(&oldest(slot_b)))
+                order.then(last_used_at(slot_a).cmp(&last_used_at(slot_b)))
             }),
         };
         chosen.map(|(adapter, _)| adapter.clone())
--- a/quillcove_core/src/agent/view.rs
+++ b/quillcove_core/src/agent/view.rs
@@ -181,7 +181,7 @@
                 adapter: adapter.to_string(),
                 state: slot_label(slot.state),
                 pins: self.pins(adapter),
-                foreign: slot.foreign,
+                foreign: slot.inherited_requests,
                 demand: meter.map_or(0.0, |meter| meter.rate(now, self.rules.half_life)),
             }
         };
