--- a/quillcove_core/src/agent/admission.rs
+++ b/quillcove_core/src/agent/admission.rs
@@ -22,7 +22,7 @@
         match self.admit(now, &order, out) {
             Ok(once) => {
                 self.marks.set(attempt, AttemptMark::Waiting);
-                self.room.push(WaitingAttempt { order, once, since: now });
+                self.wait_queue.push(WaitingAttempt { order, once, arrived_at: now });
             },
             Err(refusal) => self.refuse(now, attempt, refusal, out),
         }
@@ -69,7 +69,7 @@
         if order.deadline <= now {
             return Err(WorkRefusal::not_run(RefusalReason::DeadlinePassed, None));
         }
-        self.check_limit(now, self.room.len())?;
+        self.check_limit(now, self.wait_queue.len())?;
         let wait = self.expected_wait(now, order);
         if now + wait > order.deadline {
             return Err(WorkRefusal::not_run(RefusalReason::DeadlineTooShort, Some(wait)));
@@ -114,11 +114,11 @@
         class: WorkClass,
         out: &mut Vec<AgentAction>,
     ) -> Result<(), WorkRefusal> {
-        if self.room.len() < self.rules.queue_limit {
+        if self.wait_queue.len() < self.rules.queue_limit {
             return Ok(());
         }
         let overflow = WorkRefusal::overloaded();
-        match self.room.take_less_urgent(class) {
+        match self.wait_queue.remove_less_urgent(class) {
             Some(attempt) => {
                 self.refuse_waiting(now, attempt, overflow, out);
                 Ok(())
@@ -158,16 +158,16 @@
         refusal: WorkRefusal,
         out: &mut Vec<AgentAction>,
     ) {
-        for attempt in self.room.take_where(|_| true) {
+        for attempt in self.wait_queue.remove_where(|_| true) {
             self.refuse_waiting(now, attempt, refusal, out);
         }
     }
 
     pub(super) fn refuse_late(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
-        if self.room.is_empty() {
+        if self.wait_queue.is_empty() {
             return;
         }
-        for attempt in self.room.take_where(|attempt| attempt.order.deadline <= now) {
+        for attempt in self.wait_queue.remove_where(|attempt| attempt.order.deadline <= now) {
             let refusal = WorkRefusal::not_run(RefusalReason::DeadlinePassed, None);
             self.refuse_waiting(now, attempt, refusal, out);
         }
@@ -191,7 +191,7 @@
             Some(AttemptMark::Refused) => WithdrawAnswer::NotRun,
             Some(AttemptMark::Started) => WithdrawAnswer::MayHaveRun,
             Some(AttemptMark::Waiting) => {
-                if let Some(waiting) = self.room.take(attempt) {
+                if let Some(waiting) = self.wait_queue.remove(attempt) {
                     let refusal = WorkRefusal::not_run(RefusalReason::Withdrawn, None);
                     self.refuse_waiting(now, waiting, refusal, out);
                 }
--- a/quillcove_core/src/agent/limit.rs
+++ b/quillcove_core/src/agent/limit.rs
@@ -60,16 +60,16 @@
 
     /// Rejects queued attempts whose send slot is too far away.
     pub(super) fn refuse_beyond_limit(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
-        if self.standing.limit().is_none() || self.room.is_empty() {
+        if self.standing.limit().is_none() || self.wait_queue.is_empty() {
             return;
         }
-        let in_turn = self.room.by_turn().into_iter().enumerate();
+        let in_order = self.wait_queue.in_start_order().into_iter().enumerate();
         let refusal = |(ahead, attempt): (usize, &WaitingAttempt)| {
             Some((attempt.order.attempt, self.check_limit(now, ahead).err()?))
         };
-        let refused: Vec<(AttemptId, WorkRefusal)> = in_turn.filter_map(refusal).collect();
+        let refused: Vec<(AttemptId, WorkRefusal)> = in_order.filter_map(refusal).collect();
         for (attempt, refusal) in refused {
-            if let Some(attempt) = self.room.take(attempt) {
+            if let Some(attempt) = self.wait_queue.remove(attempt) {
                 self.refuse_waiting(now, attempt, refusal, out);
             }
         }
--- a/quillcove_core/src/agent/loads.rs
+++ b/quillcove_core/src/agent/loads.rs
@@ -45,7 +45,7 @@
     /// Returns the adapters that attempts wait for and that are not loaded, by descending value.
     fn line_of_loads(&self, now: MonoTime) -> Vec<(AdapterRef, f64)> {
         let Some(engine) = &self.engine else { return Vec::new() };
-        let wanted = self.room.adapters().filter(|(adapter, _)| {
+        let wanted = self.wait_queue.adapter_queues().filter(|(adapter, _)| {
             engine.slot_table.get(adapter).is_none() && !engine.is_loading(adapter)
         });
         let valued =
@@ -66,7 +66,7 @@
                 attempt.order.target == target && attempt.order.deadline < now + wait
             };
             let refusal = WorkRefusal::not_run(RefusalReason::DeadlineTooShort, Some(wait));
-            for attempt in self.room.take_where(is_hopeless) {
+            for attempt in self.wait_queue.remove_where(is_hopeless) {
                 self.refuse_waiting(now, attempt, refusal, out);
             }
         }
@@ -92,7 +92,7 @@
                 WorkClass::Batch if is_late => WorkClass::Normal,
                 class => class,
             };
-            class.weight() * (1.0 + now.saturating_sub(attempt.since).as_secs_f64())
+            class.weight() * (1.0 + now.saturating_sub(attempt.arrived_at).as_secs_f64())
         };
         queue.iter().map(value_of).sum::<f64>() * self.priority_weight(adapter)
     }
@@ -152,7 +152,7 @@
     /// Returns the adapter to load next, with its value.
     fn next_load(&self, now: MonoTime) -> Option<(AdapterRef, f64)> {
         let engine = self.engine.as_ref()?;
-        let wanted = self.room.adapters().filter(|(adapter, _)| {
+        let wanted = self.wait_queue.adapter_queues().filter(|(adapter, _)| {
             engine.slot_table.get(adapter).is_none() && !engine.is_backing_off(adapter, now)
         });
         let valued = wanted.map(|(adapter, queue)| {
@@ -189,7 +189,8 @@
             half_life: self.rules.half_life,
             bundle,
         };
-        let is_in_use = |other: &AdapterRef| self.room.wants(other) || self.pins(other) > 0;
+        let is_in_use =
+            |other: &AdapterRef| self.wait_queue.has_waiting(other) || self.pins(other) > 0;
         let victim = ranking.victim(&engine.slot_table, is_in_use, now)?;
         if self.rules.evict == EvictRule::Lru {
             return Some(Some(victim));
@@ -247,7 +248,7 @@
         let is_possible = self.is_confirmed && bundle.serves(&plan.adapter);
         let value = match self.next_load(now) {
             Some((adapter, value)) if adapter == plan.adapter => value,
-            _ if self.room.wants(&plan.adapter) => f64::INFINITY,
+            _ if self.wait_queue.has_waiting(&plan.adapter) => f64::INFINITY,
             _ => return self.drop_plan(out),
         };
         match self.make_way(now, &bundle, &plan.adapter, value) {
@@ -274,6 +275,6 @@
 }
 
 fn oldest_wait(now: MonoTime, queue: &VecDeque<WaitingAttempt>) -> Duration {
-    let since = queue.iter().map(|attempt| attempt.since).min();
+    let since = queue.iter().map(|attempt| attempt.arrived_at).min();
     now.saturating_sub(since.unwrap_or(now))
 }
--- a/quillcove_core/src/agent/mod.rs
+++ b/quillcove_core/src/agent/mod.rs
@@ -25,7 +25,7 @@
     AgentAction, AgentEvent, AgentRules, EngineReport, HostState, RunEnd, UpstreamKind, WorkTarget,
 };
 use self::marks::MarkTable;
-use self::waiting::WaitingRoom;
+use self::waiting::WaitQueue;
 use crate::adapter::AdapterRef;
 use crate::bundle::FleetBundle;
 use crate::class::WorkClass;
@@ -83,7 +83,7 @@
     book: OnceBook,
     bundle: Option<Arc<FleetBundle>>,
     marks: MarkTable,
-    room: WaitingRoom,
+    wait_queue: WaitQueue,
     running: BTreeMap<AttemptId, RunningAttempt>,
     lingering: VecDeque<LingeringPin>,
     engine: Option<EngineState>,
@@ -134,7 +134,7 @@
             book,
             bundle: None,
             marks: MarkTable::default(),
-            room: WaitingRoom::default(),
+            wait_queue: WaitQueue::default(),
             running: BTreeMap::new(),
             lingering: VecDeque::new(),
             engine: None,
--- a/quillcove_core/src/agent/orders.rs
+++ b/quillcove_core/src/agent/orders.rs
@@ -160,7 +160,7 @@
             let pause = engine.record_failed_load(adapter, now);
             let refusal = WorkRefusal::not_run(RefusalReason::LoadFailed, Some(pause));
             let target = WorkTarget::Adapter(adapter.clone());
-            for attempt in self.room.take_where(|attempt| attempt.order.target == target) {
+            for attempt in self.wait_queue.remove_where(|attempt| attempt.order.target == target) {
                 self.refuse_waiting(now, attempt, refusal, out);
             }
         }
--- a/quillcove_core/src/agent/running.rs
+++ b/quillcove_core/src/agent/running.rs
@@ -15,8 +15,8 @@
             let is_ready = |target: &WorkTarget| self.is_target_ready(target);
             let may_start_batch = self.may_start_batch(now);
             let is_admitted = |class| class != WorkClass::Batch || may_start_batch;
-            let Some(attempt) = self.room.first(is_ready, is_admitted) else { return };
-            let Some(attempt) = self.room.take(attempt) else { return };
+            let Some(attempt) = self.wait_queue.first_ready(is_ready, is_admitted) else { return };
+            let Some(attempt) = self.wait_queue.remove(attempt) else { return };
             self.start(now, attempt, out);
         }
     }
@@ -33,8 +33,8 @@
     /// engine it starts once enough has accumulated to fill the batch, or when half of the time
     /// until an attempt's deadline has passed.
     fn may_start_batch(&self, now: MonoTime) -> bool {
-        let places = (self.capacity() as f64 * self.rules.batch_share).ceil() as usize;
-        if self.running_of(WorkClass::Batch) >= places {
+        let batch_limit = (self.capacity() as f64 * self.rules.batch_share).ceil() as usize;
+        if self.running_of(WorkClass::Batch) >= batch_limit {
             return false;
         }
         let is_eager = self.rules.batch == BatchRule::Eager;
@@ -42,11 +42,11 @@
             return true;
         }
         let is_ready = |target: &WorkTarget| self.is_target_ready(target);
-        let gathered = self.room.batch_class(is_ready);
+        let accumulated = self.wait_queue.batch_attempts(is_ready);
         let is_half_over = |attempt: &&WaitingAttempt| {
-            now.saturating_sub(attempt.since) >= attempt.order.deadline.saturating_sub(now)
+            now.saturating_sub(attempt.arrived_at) >= attempt.order.deadline.saturating_sub(now)
         };
-        gathered.len() >= places || gathered.iter().any(is_half_over)
+        accumulated.len() >= batch_limit || accumulated.iter().any(is_half_over)
     }
 
     fn start(&mut self, now: MonoTime, attempt: WaitingAttempt, out: &mut Vec<AgentAction>) {
--- a/quillcove_core/src/agent/said.rs
+++ b/quillcove_core/src/agent/said.rs
@@ -110,7 +110,7 @@
         }
         let rest =
             self.standing.rest_end(now).map_or(Duration::ZERO, |end| end.saturating_sub(now));
-        rest.max(self.limit_wait(now, self.room.len()).min(LOOK_PAUSE))
+        rest.max(self.limit_wait(now, self.wait_queue.len()).min(LOOK_PAUSE))
     }
 }
 
