--- a/quillcove_core/src/agent/admission.rs
+++ b/quillcove_core/src/agent/admission.rs
@@ -12,7 +12,12 @@
 use crate::verdict::{RefusalReason, SOON, WorkRefusal};
 
 impl AgentMachine {
-    pub(super) fn arrive(&mut self, now: MonoTime, order: RunOrder, out: &mut Vec<AgentAction>) {
+    pub(super) fn receive_attempt(
+        &mut self,
+        now: MonoTime,
+        order: RunOrder,
+        out: &mut Vec<AgentAction>,
+    ) {
         let attempt = order.attempt;
         if let Err(refusal) = self.check_identity(&order) {
             out.push(AgentAction::Refuse(attempt, refusal));
@@ -63,7 +68,7 @@
         order: &RunOrder,
         out: &mut Vec<AgentAction>,
     ) -> Result<Option<OnceKey>, WorkRefusal> {
-        self.check_presence()?;
+        self.check_availability()?;
         self.check_standing(now)?;
         self.check_target(order)?;
         if order.deadline <= now {
@@ -81,7 +86,7 @@
         }
     }
 
-    pub(super) fn check_presence(&self) -> Result<(), WorkRefusal> {
+    pub(super) fn check_availability(&self) -> Result<(), WorkRefusal> {
         if self.is_leaving() {
             return Err(WorkRefusal::not_run(RefusalReason::Leaving, Some(Duration::ZERO)));
         }
@@ -163,7 +168,7 @@
         }
     }
 
-    pub(super) fn refuse_late(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+    pub(super) fn refuse_expired(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         if self.wait_queue.is_empty() {
             return;
         }
--- a/quillcove_core/src/agent/crashes.rs
+++ b/quillcove_core/src/agent/crashes.rs
@@ -15,7 +15,7 @@
     fn upstream_run(&self) -> ReplicaRun {
         // A restarted agent counts the upstream's process starts from zero; its incarnation keeps
         // them distinct from those counted by its predecessor.
-        let born = self.incarnation.wrapping_add(self.upstream_runs);
+        let born = self.incarnation.wrapping_add(self.upstream_starts);
         ReplicaRun { replica: self.host.clone(), born: Some(born) }
     }
 
@@ -34,10 +34,10 @@
             RunEnd::Broken => {
                 let run = self.upstream_run();
                 let broke = AnswerBreak { identity, has_begun: false, sent_at: now };
-                self.crashes.note_broken(&run, broke, now);
+                self.crash_watch.note_broken(&run, broke, now);
             },
             RunEnd::Complete(status) if (200..300).contains(&status) => {
-                self.crashes.note_good(identity, now);
+                self.crash_watch.note_good(identity, now);
             },
             RunEnd::Complete(_) | RunEnd::NotRun => {},
         }
@@ -46,12 +46,12 @@
     /// Records that the upstream exited, or restarted unnoticed.
     pub(super) fn note_upstream_end(&mut self, now: MonoTime) {
         let run = self.upstream_run();
-        self.crashes.confirm_end(&run, now);
+        self.crash_watch.confirm_end(&run, now);
     }
 
     /// Returns the crash records that are sent to entries with each response.
     pub(super) fn crash_news(&self) -> CrashBeacon {
-        let mut known = self.crashes.book().all(self.last_event);
+        let mut known = self.crash_watch.book().all(self.last_event_at);
         known.ends.truncate(TOLD_REQUESTS);
         known
     }
--- a/quillcove_core/src/agent/limit.rs
+++ b/quillcove_core/src/agent/limit.rs
@@ -29,23 +29,23 @@
     /// assert!(machine.upstream_limit().is_none());
     /// ```
     pub fn upstream_limit(&self) -> Option<RateLimit> {
-        self.standing.limit()
+        self.upstream_status.limit()
     }
 
     /// Records that the upstream responded successfully to an attempt and announced no rate limit
     /// with the response.
     pub(super) fn note_no_limit(&mut self, now: MonoTime, attempt: AttemptId) {
         if let Some(running) = self.running.get(&attempt) {
-            self.standing.note_no_limit(running.started, Duration::ZERO, now);
+            self.upstream_status.note_no_limit(running.started, Duration::ZERO, now);
         }
     }
 
     /// Returns the time until the send slot of an attempt that starts after `ahead` others.
     pub(super) fn limit_wait(&self, now: MonoTime, ahead: usize) -> Duration {
-        let Some(limit) = self.standing.limit() else {
+        let Some(limit) = self.upstream_status.limit() else {
             return Duration::ZERO;
         };
-        let first = self.standing.takes_work_from(now).saturating_sub(now);
+        let first = self.upstream_status.takes_work_from(now).saturating_sub(now);
         first + limit.gap() * ahead as u32
     }
 
@@ -60,7 +60,7 @@
 
     /// Rejects queued attempts whose send slot is too far away.
     pub(super) fn refuse_beyond_limit(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
-        if self.standing.limit().is_none() || self.wait_queue.is_empty() {
+        if self.upstream_status.limit().is_none() || self.wait_queue.is_empty() {
             return;
         }
         let in_order = self.wait_queue.in_start_order().into_iter().enumerate();
--- a/quillcove_core/src/agent/loads.rs
+++ b/quillcove_core/src/agent/loads.rs
@@ -117,7 +117,7 @@
     fn begin_load(&mut self, now: MonoTime, bundle: &FleetBundle, out: &mut Vec<AgentAction>) {
         let next = self.next_load(now);
         self.note_wanted(now, next.is_some());
-        if self.is_stopping || now < self.ask_after {
+        if self.is_stopping || now < self.next_permit_request_at {
             return;
         }
         let Some((adapter, value)) = next else { return };
@@ -232,7 +232,7 @@
             },
             PermitAnswer::Wait(pause) => {
                 engine.plan = None;
-                self.ask_after = now + pause;
+                self.next_permit_request_at = now + pause;
             },
         }
     }
@@ -245,7 +245,7 @@
         };
         let planned = self.engine.as_ref().and_then(|engine| engine.plan.clone());
         let Some(plan) = planned else { return };
-        let is_possible = self.is_confirmed && bundle.serves(&plan.adapter);
+        let is_possible = self.is_host_state_confirmed && bundle.serves(&plan.adapter);
         let value = match self.next_load(now) {
             Some((adapter, value)) if adapter == plan.adapter => value,
             _ if self.wait_queue.has_waiting(&plan.adapter) => f64::INFINITY,
--- a/quillcove_core/src/agent/mod.rs
+++ b/quillcove_core/src/agent/mod.rs
@@ -38,10 +38,10 @@
 use crate::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
 
 /// Number of demand meters above which those of faded demand are removed.
-const METER_LIMIT: usize = 4096;
+const MAX_DEMAND_METERS: usize = 4096;
 
 /// Demand level at or below which a meter may be removed.
-const FADED_LEVEL: f64 = 0.05;
+const MIN_DEMAND_LEVEL: f64 = 0.05;
 
 /// One attempt that was handed to the upstream.
 #[derive(Clone, Debug)]
@@ -85,26 +85,26 @@
     marks: MarkTable,
     wait_queue: WaitQueue,
     running: BTreeMap<AttemptId, RunningAttempt>,
-    lingering: VecDeque<LingeringPin>,
+    lingering_pins: VecDeque<LingeringPin>,
     engine: Option<EngineState>,
     demand: BTreeMap<AdapterRef, DemandMeter>,
-    ask_after: MonoTime,
+    next_permit_request_at: MonoTime,
     is_upstream_up: bool,
     /// What the current process start of the upstream has reported about itself.
-    standing: UpstreamStanding,
+    upstream_status: UpstreamStanding,
     /// Consecutive reports that do not mention draining, since the upstream announced it.
-    staying_reports: u32,
+    reports_without_draining: u32,
     host_state: HostState,
     is_stopping: bool,
     has_stopped: bool,
-    is_confirmed: bool,
+    is_host_state_confirmed: bool,
     /// Detects fatal requests of the upstream.
-    crashes: CrashWatch,
+    crash_watch: CrashWatch,
     /// Number of process starts of the upstream that this process has seen.
-    upstream_runs: u64,
+    upstream_starts: u64,
     /// Incarnation in the upstream's latest report.
-    seen_incarnation: Incarnation,
-    last_event: MonoTime,
+    upstream_incarnation: Incarnation,
+    last_event_at: MonoTime,
 }
 
 impl AgentMachine {
@@ -136,21 +136,21 @@
             marks: MarkTable::default(),
             wait_queue: WaitQueue::default(),
             running: BTreeMap::new(),
-            lingering: VecDeque::new(),
+            lingering_pins: VecDeque::new(),
             engine: None,
             demand: BTreeMap::new(),
-            ask_after: MonoTime::ZERO,
+            next_permit_request_at: MonoTime::ZERO,
             is_upstream_up: false,
-            standing: UpstreamStanding::default(),
-            staying_reports: 0,
+            upstream_status: UpstreamStanding::default(),
+            reports_without_draining: 0,
             host_state: HostState::Live,
             is_stopping: false,
             has_stopped: false,
-            is_confirmed: true,
-            crashes: CrashWatch::default(),
-            upstream_runs: 0,
-            seen_incarnation: 0,
-            last_event: now,
+            is_host_state_confirmed: true,
+            crash_watch: CrashWatch::default(),
+            upstream_starts: 0,
+            upstream_incarnation: 0,
+            last_event_at: now,
         }
     }
 
@@ -185,22 +185,22 @@
     /// assert!(actions.is_empty());
     /// ```
     pub fn handle(&mut self, now: MonoTime, event: AgentEvent, out: &mut Vec<AgentAction>) {
-        self.notice_pause(now, out);
+        self.detect_suspension(now, out);
         match event {
-            AgentEvent::Arrived(order) => self.arrive(now, order, out),
+            AgentEvent::Arrived(order) => self.receive_attempt(now, order, out),
             AgentEvent::Withdrawn(attempt, incarnation) => {
                 self.withdraw(now, attempt, incarnation, out)
             },
             AgentEvent::Ended(attempt, end) => self.end_run(now, attempt, end),
-            AgentEvent::Reported(report) => self.take_report(now, &report, out),
-            AgentEvent::UpstreamLost => self.lose_upstream(now, out),
-            AgentEvent::Said(notice) => self.take_notice(now, &notice, out),
+            AgentEvent::Reported(report) => self.apply_report(now, &report, out),
+            AgentEvent::UpstreamLost => self.record_upstream_loss(now, out),
+            AgentEvent::Said(notice) => self.apply_notice(now, &notice, out),
             AgentEvent::NamedNoLimit(attempt) => self.note_no_limit(now, attempt),
             AgentEvent::OrderEnded(fence, end) => self.end_order(now, fence, end, out),
             AgentEvent::PermitAnswered(answer) => self.take_permit(now, answer, out),
-            AgentEvent::BundleTaken(bundle) => self.take_bundle(now, bundle),
-            AgentEvent::HostSeen(state) => self.see_host(now, state, out),
-            AgentEvent::StopAsked => self.stop(now, out),
+            AgentEvent::BundleTaken(bundle) => self.apply_bundle(now, bundle),
+            AgentEvent::HostSeen(state) => self.apply_host_state(now, state, out),
+            AgentEvent::StopAsked => self.begin_stop(now, out),
             AgentEvent::Ticked => self.tick(now),
         }
         self.progress(now, out);
@@ -208,22 +208,22 @@
 
     /// Detects a suspension of this process. After one, the age of its information is unknown, so
     /// it starts nothing until the host list has been read again.
-    fn notice_pause(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
-        let gap = now.saturating_sub(self.last_event);
-        self.last_event = now;
+    fn detect_suspension(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+        let gap = now.saturating_sub(self.last_event_at);
+        self.last_event_at = now;
         if gap > self.rules.pause_limit {
-            self.is_confirmed = false;
+            self.is_host_state_confirmed = false;
             out.push(AgentAction::ReadHosts);
         }
     }
 
     /// Performs every step that has become possible.
     fn progress(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
-        self.refuse_late(now, out);
+        self.refuse_expired(now, out);
         self.refuse_hopeless(now, out);
         self.refuse_beyond_limit(now, out);
-        self.release_lingering(now);
-        if self.is_confirmed && self.hold_claim(now, out) {
+        self.expire_pins(now);
+        if self.is_host_state_confirmed && self.hold_claim(now, out) {
             self.start_ready(now, out);
             // An engine that is draining or in a requested pause gets no orders either.
             if self.check_standing(now).is_ok() {
@@ -236,22 +236,22 @@
         }
     }
 
-    fn take_report(&mut self, now: MonoTime, report: &EngineReport, out: &mut Vec<AgentAction>) {
-        if !self.is_upstream_up || self.seen_incarnation != report.incarnation {
+    fn apply_report(&mut self, now: MonoTime, report: &EngineReport, out: &mut Vec<AgentAction>) {
+        if !self.is_upstream_up || self.upstream_incarnation != report.incarnation {
             self.note_upstream_end(now);
-            self.upstream_runs += 1;
-            self.standing = UpstreamStanding::default();
-            self.seen_incarnation = report.incarnation;
+            self.upstream_starts += 1;
+            self.upstream_status = UpstreamStanding::default();
+            self.upstream_incarnation = report.incarnation;
         }
         self.is_upstream_up = true;
-        self.note_reported_leaving(now, report.leaving, out);
+        self.record_reported_draining(now, report.leaving, out);
         if self.rules.kind == UpstreamKind::Service {
             return;
         }
-        self.witness(report.highest_fence.bundle, out);
+        self.drop_outdated_bundle(report.highest_fence.bundle, out);
         let mut engine = match self.engine.take() {
             Some(engine) if engine.incarnation == report.incarnation => engine,
-            other => return self.take_over(now, other, report, out),
+            other => return self.take_over_engine(now, other, report, out),
         };
         engine.record_fence(report.highest_fence);
         let is_settling = now < engine.settle_until;
@@ -262,7 +262,7 @@
     }
 
     /// Takes over an engine that is new to this agent or has restarted.
-    fn take_over(
+    fn take_over_engine(
         &mut self,
         now: MonoTime,
         before: Option<EngineState>,
@@ -285,7 +285,7 @@
 
     /// Drops this agent's bundle when the engine has acted on a newer one: acting on the older
     /// bundle would undo the newer one.
-    pub(super) fn witness(&mut self, version: u64, out: &mut Vec<AgentAction>) {
+    pub(super) fn drop_outdated_bundle(&mut self, version: u64, out: &mut Vec<AgentAction>) {
         let held = self.bundle.as_ref().map_or(0, |bundle| bundle.version);
         if version > held {
             self.bundle = None;
@@ -293,14 +293,14 @@
         }
     }
 
-    fn lose_upstream(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+    fn record_upstream_loss(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         self.is_upstream_up = false;
         self.note_upstream_end(now);
         let refusal = WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SOON));
         self.refuse_all(now, refusal, out);
     }
 
-    fn take_bundle(&mut self, now: MonoTime, bundle: Arc<FleetBundle>) {
+    fn apply_bundle(&mut self, now: MonoTime, bundle: Arc<FleetBundle>) {
         let seen = self.engine.as_ref().map_or(0, |engine| engine.seen_fence.bundle);
         let held = self.bundle.as_ref().map_or(0, |held| held.version);
         if bundle.version < seen.max(held) {
@@ -314,30 +314,35 @@
         self.bundle = Some(bundle);
     }
 
-    fn see_host(&mut self, now: MonoTime, state: Option<HostState>, out: &mut Vec<AgentAction>) {
-        self.is_confirmed = true;
+    fn apply_host_state(
+        &mut self,
+        now: MonoTime,
+        state: Option<HostState>,
+        out: &mut Vec<AgentAction>,
+    ) {
+        self.is_host_state_confirmed = true;
         let Some(state) = state else { return };
         self.host_state = state;
         if state == HostState::Leaving {
-            self.refuse_leaving(now, out);
+            self.refuse_all_draining(now, out);
         }
     }
 
-    fn stop(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+    fn begin_stop(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         self.is_stopping = true;
-        self.refuse_leaving(now, out);
+        self.refuse_all_draining(now, out);
     }
 
-    fn refuse_leaving(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+    fn refuse_all_draining(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let refusal = WorkRefusal::not_run(RefusalReason::Leaving, Some(Duration::ZERO));
         self.refuse_all(now, refusal, out);
     }
 
     fn tick(&mut self, now: MonoTime) {
         self.marks.expire(now);
-        if self.demand.len() > METER_LIMIT {
+        if self.demand.len() > MAX_DEMAND_METERS {
             let half_life = self.rules.half_life;
-            self.demand.retain(|_, meter| meter.level(now, half_life) > FADED_LEVEL);
+            self.demand.retain(|_, meter| meter.level(now, half_life) > MIN_DEMAND_LEVEL);
         }
     }
 }
--- a/quillcove_core/src/agent/orders.rs
+++ b/quillcove_core/src/agent/orders.rs
@@ -60,7 +60,7 @@
             OrderEnd::Done => engine.record_fence(fence),
             OrderEnd::Stale(highest) => {
                 engine.record_fence(highest);
-                self.witness(highest.bundle, out);
+                self.drop_outdated_bundle(highest.bundle, out);
             },
             OrderEnd::Failed | OrderEnd::Unknown => {},
         }
@@ -112,7 +112,7 @@
                 engine.record_fence(highest);
                 undo(engine, &order.kind);
                 self.drop_plan(out);
-                self.witness(highest.bundle, out);
+                self.drop_outdated_bundle(highest.bundle, out);
             },
             OrderEnd::Unknown => {
                 let pause = match self.rules.checks_fence {
--- a/quillcove_core/src/agent/running.rs
+++ b/quillcove_core/src/agent/running.rs
@@ -51,7 +51,7 @@
 
     fn start(&mut self, now: MonoTime, attempt: WaitingAttempt, out: &mut Vec<AgentAction>) {
         let id = attempt.order.attempt;
-        self.standing.begin(now);
+        self.upstream_status.begin(now);
         self.note_use(now, &attempt.order.target);
         self.marks.set(id, AttemptMark::Started);
         let running = RunningAttempt {
@@ -93,14 +93,14 @@
         self.note_use(now, &running.target);
         if let (WorkTarget::Adapter(adapter), RunEnd::Broken) = (running.target, end) {
             let until = now + self.rules.settle_time;
-            self.lingering.push_back(LingeringPin { until, adapter });
+            self.lingering_pins.push_back(LingeringPin { until, adapter });
         }
     }
 
     /// Removes the pins of cut-off runs once the engine must have noticed their end.
-    pub(super) fn release_lingering(&mut self, now: MonoTime) {
-        while self.lingering.front().is_some_and(|pin| pin.until <= now) {
-            self.lingering.pop_front();
+    pub(super) fn expire_pins(&mut self, now: MonoTime) {
+        while self.lingering_pins.front().is_some_and(|pin| pin.until <= now) {
+            self.lingering_pins.pop_front();
         }
     }
 
@@ -121,7 +121,8 @@
             WorkTarget::Service => false,
         };
         let running = self.running.values().filter(uses).count();
-        let lingering = self.lingering.iter().filter(|pin| pin.adapter == *adapter).count();
-        running + lingering
+        let lingering_pins =
+            self.lingering_pins.iter().filter(|pin| pin.adapter == *adapter).count();
+        running + lingering_pins
     }
 }
--- a/quillcove_core/src/agent/said.rs
+++ b/quillcove_core/src/agent/said.rs
@@ -11,7 +11,7 @@
 
 /// Consecutive reports without draining after which a plain service that announced draining counts
 /// as a new process start. The second such report was requested after the announcement had arrived.
-const STAYING_REPORTS: u32 = 2;
+const MIN_REPORTS_WITHOUT_DRAINING: u32 = 2;
 
 /// Pause announced to entries while the upstream drains, since its successor may run by then; also
 /// the longest pause announced because of a rate limit.
@@ -21,7 +21,7 @@
     /// Applies a status that the upstream sent with a response. Attempts queued for an upstream
     /// that drains or requests a pause are rejected at once, as other upstreams may be able to take
     /// them.
-    pub(super) fn take_notice(
+    pub(super) fn apply_notice(
         &mut self,
         now: MonoTime,
         notice: &UpstreamNotice,
@@ -29,10 +29,10 @@
     ) {
         // The spread is zero: the agent is the only sender of work to the upstream, so no other
         // sender resumes at the same moment.
-        match self.standing.take(notice, Duration::ZERO, now) {
+        match self.upstream_status.take(notice, Duration::ZERO, now) {
             Some(StandingChange::Leaves) => {
-                self.staying_reports = 0;
-                self.refuse_leaving(now, out);
+                self.reports_without_draining = 0;
+                self.refuse_all_draining(now, out);
             },
             Some(StandingChange::Rests(until)) => {
                 self.refuse_all(now, resting(until.saturating_sub(now)), out);
@@ -45,24 +45,24 @@
     /// Applies whether a report announces draining. A new process start of an engine shows in its
     /// incarnation. A plain service has none, but it announces draining with every response, so one
     /// that no longer does is a new process start.
-    pub(super) fn note_reported_leaving(
+    pub(super) fn record_reported_draining(
         &mut self,
         now: MonoTime,
         is_leaving: bool,
         out: &mut Vec<AgentAction>,
     ) {
         if is_leaving {
-            self.staying_reports = 0;
-            if self.standing.note_leaving(LeavingSource::Answer, now) {
-                self.refuse_leaving(now, out);
+            self.reports_without_draining = 0;
+            if self.upstream_status.note_leaving(LeavingSource::Answer, now) {
+                self.refuse_all_draining(now, out);
             }
             return;
         }
-        if self.rules.kind == UpstreamKind::Service && self.standing.is_leaving() {
-            self.staying_reports += 1;
-            if self.staying_reports >= STAYING_REPORTS {
-                self.standing = UpstreamStanding::default();
-                self.staying_reports = 0;
+        if self.rules.kind == UpstreamKind::Service && self.upstream_status.is_leaving() {
+            self.reports_without_draining += 1;
+            if self.reports_without_draining >= MIN_REPORTS_WITHOUT_DRAINING {
+                self.upstream_status = UpstreamStanding::default();
+                self.reports_without_draining = 0;
             }
         }
     }
@@ -86,10 +86,10 @@
 
     /// Rejects an attempt while the upstream drains or is in a requested pause.
     pub(super) fn check_standing(&self, now: MonoTime) -> Result<(), WorkRefusal> {
-        if self.standing.is_leaving() {
+        if self.upstream_status.is_leaving() {
             return Err(WorkRefusal::not_run(RefusalReason::Leaving, Some(Duration::ZERO)));
         }
-        match self.standing.rest_end(now) {
+        match self.upstream_status.rest_end(now) {
             Some(end) => Err(resting(end.saturating_sub(now))),
             None => Ok(()),
         }
@@ -97,7 +97,7 @@
 
     /// Returns whether another attempt may be sent to the upstream now.
     pub(super) fn may_start(&self, now: MonoTime) -> bool {
-        !self.standing.is_leaving() && self.standing.takes_work(now)
+        !self.upstream_status.is_leaving() && self.upstream_status.takes_work(now)
     }
 
     /// Returns how long entries should send nothing, because the upstream drains or is in a
@@ -105,11 +105,13 @@
     /// rate limit may be lifted at any moment, so the pause that it causes is short and entries
     /// check again after it.
     pub(super) fn rest_left(&self, now: MonoTime) -> Duration {
-        if self.standing.is_leaving() {
+        if self.upstream_status.is_leaving() {
             return LOOK_PAUSE;
         }
-        let rest =
-            self.standing.rest_end(now).map_or(Duration::ZERO, |end| end.saturating_sub(now));
+        let rest = self
+            .upstream_status
+            .rest_end(now)
+            .map_or(Duration::ZERO, |end| end.saturating_sub(now));
         rest.max(self.limit_wait(now, self.wait_queue.len()).min(LOOK_PAUSE))
     }
 }
--- a/quillcove_core/src/agent/view.rs
+++ b/quillcove_core/src/agent/view.rs
@@ -93,9 +93,9 @@
             kind: self.rules.kind,
             upstream_up: self.is_upstream_up,
             leaving: self.is_leaving(),
-            upstream_leaving: self.standing.is_leaving(),
+            upstream_leaving: self.upstream_status.is_leaving(),
             rest_left_ms: self.rest_left(now).as_millis() as u64,
-            upstream_limit: self.standing.limit().map(RateLimit::rate),
+            upstream_limit: self.upstream_status.limit().map(RateLimit::rate),
             bundle: self.bundle.as_ref().map_or(0, |bundle| bundle.version),
             running: self.running.len(),
             waiting: self.wait_queue.len(),
@@ -143,7 +143,7 @@
     /// assert!(!machine.is_ready());
     /// ```
     pub fn is_ready(&self) -> bool {
-        self.bundle.is_some() && self.check_presence().is_ok()
+        self.bundle.is_some() && self.check_availability().is_ok()
     }
 
     /// Returns the status that is sent to entries with each response.
@@ -167,7 +167,7 @@
             capacity: self.capacity(),
             bundle: self.bundle.as_ref().map_or(0, |bundle| bundle.version),
             crashes: self.crash_news(),
-            rest_ms: self.rest_left(self.last_event).as_millis() as u64,
+            rest_ms: self.rest_left(self.last_event_at).as_millis() as u64,
         }
     }
 
