--- a/quillcove_core/src/agent/admission.rs
+++ b/quillcove_core/src/agent/admission.rs
@@ -23,7 +23,7 @@
             out.push(AgentAction::Refuse(attempt, refusal));
             return;
         }
-        self.note_demand(now, &order);
+        self.record_demand(now, &order);
         match self.admit(now, &order, out) {
             Ok(once) => {
                 self.marks.set(attempt, AttemptMark::Waiting);
@@ -53,7 +53,7 @@
         }
     }
 
-    fn note_demand(&mut self, now: MonoTime, order: &RunOrder) {
+    fn record_demand(&mut self, now: MonoTime, order: &RunOrder) {
         if let WorkTarget::Adapter(adapter) = &order.target {
             let meter = self.demand.entry(adapter.clone()).or_default();
             meter.add(now, 1.0, self.rules.half_life);
@@ -69,12 +69,12 @@
         out: &mut Vec<AgentAction>,
     ) -> Result<Option<OnceKey>, WorkRefusal> {
         self.check_availability()?;
-        self.check_standing(now)?;
+        self.check_upstream_status(now)?;
         self.check_target(order)?;
         if order.deadline <= now {
             return Err(WorkRefusal::not_run(RefusalReason::DeadlinePassed, None));
         }
-        self.check_limit(now, self.wait_queue.len())?;
+        self.check_rate_limit(now, self.wait_queue.len())?;
         let wait = self.expected_wait(now, order);
         if now + wait > order.deadline {
             return Err(WorkRefusal::not_run(RefusalReason::DeadlineTooShort, Some(wait)));
--- a/quillcove_core/src/agent/crashes.rs
+++ b/quillcove_core/src/agent/crashes.rs
@@ -9,7 +9,7 @@
 use crate::ids::MonoTime;
 
 /// Maximum number of fatal requests in one response: each takes about 150 bytes of JSON.
-const TOLD_REQUESTS: usize = 8;
+const MAX_REPORTED_REQUESTS: usize = 8;
 
 impl AgentMachine {
     fn upstream_run(&self) -> ReplicaRun {
@@ -21,7 +21,7 @@
 
     /// Records the outcome of a run. A response that was cut off counts against its request if the
     /// upstream turns out to have exited.
-    pub(super) fn note_run_end(
+    pub(super) fn record_run_end(
         &mut self,
         now: MonoTime,
         identity: Option<RequestIdentity>,
@@ -44,15 +44,15 @@
     }
 
     /// Records that the upstream exited, or restarted unnoticed.
-    pub(super) fn note_upstream_end(&mut self, now: MonoTime) {
+    pub(super) fn record_upstream_exit(&mut self, now: MonoTime) {
         let run = self.upstream_run();
         self.crash_watch.confirm_end(&run, now);
     }
 
     /// Returns the crash records that are sent to entries with each response.
-    pub(super) fn crash_news(&self) -> CrashBeacon {
+    pub(super) fn crash_report(&self) -> CrashBeacon {
         let mut known = self.crash_watch.book().all(self.last_event_at);
-        known.ends.truncate(TOLD_REQUESTS);
+        known.ends.truncate(MAX_REPORTED_REQUESTS);
         known
     }
 }
--- a/quillcove_core/src/agent/limit.rs
+++ b/quillcove_core/src/agent/limit.rs
@@ -13,7 +13,7 @@
 
 /// Maximum wait of an attempt for its send slot. Another upstream may be able to take it sooner;
 /// once it is rejected here, its entry tries the others.
-const MOST_TURN_WAIT: Duration = Duration::from_millis(100);
+const MAX_SEND_SLOT_WAIT: Duration = Duration::from_millis(100);
 
 impl AgentMachine {
     /// Returns the rate limit that the upstream announces.
@@ -34,40 +34,40 @@
 
     /// Records that the upstream responded successfully to an attempt and announced no rate limit
     /// with the response.
-    pub(super) fn note_no_limit(&mut self, now: MonoTime, attempt: AttemptId) {
+    pub(super) fn record_no_limit(&mut self, now: MonoTime, attempt: AttemptId) {
         if let Some(running) = self.running.get(&attempt) {
             self.upstream_status.note_no_limit(running.started, Duration::ZERO, now);
         }
     }
 
     /// Returns the time until the send slot of an attempt that starts after `ahead` others.
-    pub(super) fn limit_wait(&self, now: MonoTime, ahead: usize) -> Duration {
+    pub(super) fn send_slot_wait(&self, now: MonoTime, ahead: usize) -> Duration {
         let Some(limit) = self.upstream_status.limit() else {
             return Duration::ZERO;
         };
-        let first = self.upstream_status.takes_work_from(now).saturating_sub(now);
-        first + limit.gap() * ahead as u32
+        let first_wait = self.upstream_status.takes_work_from(now).saturating_sub(now);
+        first_wait + limit.gap() * ahead as u32
     }
 
     /// Rejects an attempt whose send slot, after `ahead` others, is too far away.
-    pub(super) fn check_limit(&self, now: MonoTime, ahead: usize) -> Result<(), WorkRefusal> {
-        let wait = self.limit_wait(now, ahead);
-        match wait <= MOST_TURN_WAIT {
+    pub(super) fn check_rate_limit(&self, now: MonoTime, ahead: usize) -> Result<(), WorkRefusal> {
+        let wait = self.send_slot_wait(now, ahead);
+        match wait <= MAX_SEND_SLOT_WAIT {
             true => Ok(()),
             false => Err(WorkRefusal::not_run(RefusalReason::Overloaded, Some(wait))),
         }
     }
 
     /// Rejects queued attempts whose send slot is too far away.
-    pub(super) fn refuse_beyond_limit(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+    pub(super) fn refuse_over_rate_limit(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         if self.upstream_status.limit().is_none() || self.wait_queue.is_empty() {
             return;
         }
-        let in_order = self.wait_queue.in_start_order().into_iter().enumerate();
+        let queued = self.wait_queue.in_start_order().into_iter().enumerate();
         let refusal = |(ahead, attempt): (usize, &WaitingAttempt)| {
-            Some((attempt.order.attempt, self.check_limit(now, ahead).err()?))
+            Some((attempt.order.attempt, self.check_rate_limit(now, ahead).err()?))
         };
-        let refused: Vec<(AttemptId, WorkRefusal)> = in_order.filter_map(refusal).collect();
+        let refused: Vec<(AttemptId, WorkRefusal)> = queued.filter_map(refusal).collect();
         for (attempt, refusal) in refused {
             if let Some(attempt) = self.wait_queue.remove(attempt) {
                 self.refuse_waiting(now, attempt, refusal, out);
--- a/quillcove_core/src/agent/loads.rs
+++ b/quillcove_core/src/agent/loads.rs
@@ -16,14 +16,14 @@
 use crate::verdict::{RefusalReason, WorkRefusal};
 
 /// Time after which a granted permit is returned unused, because the answer is outdated.
-const ANSWER_LIFETIME: Duration = Duration::from_secs(2);
+const PERMIT_ANSWER_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Time over which the expected demand for a loaded adapter is weighed against the waiting
 /// requests.
-const KEEP_HORIZON_SECS: f64 = 5.0;
+const DEMAND_HORIZON_SECS: f64 = 5.0;
 
 /// Batch-class work counts as normal when its deadline is less than this many load times away.
-const LATE_LOADS: u32 = 8;
+const BATCH_PROMOTION_LOAD_TIMES: u32 = 8;
 
 impl AgentMachine {
     /// Returns the expected wait until an attempt can start: zero for a loaded adapter, otherwise
@@ -36,37 +36,37 @@
         }
         let own = order.class.weight() * self.priority_weight(adapter);
         let ahead = self
-            .line_of_loads(now)
+            .pending_loads(now)
             .into_iter()
             .filter(|(other, value)| other != adapter && *value >= own);
         engine.load_time * (ahead.count() as u32 + 1)
     }
 
     /// Returns the adapters that attempts wait for and that are not loaded, by descending value.
-    fn line_of_loads(&self, now: MonoTime) -> Vec<(AdapterRef, f64)> {
+    fn pending_loads(&self, now: MonoTime) -> Vec<(AdapterRef, f64)> {
         let Some(engine) = &self.engine else { return Vec::new() };
-        let wanted = self.wait_queue.adapter_queues().filter(|(adapter, _)| {
+        let needed = self.wait_queue.adapter_queues().filter(|(adapter, _)| {
             engine.slot_table.get(adapter).is_none() && !engine.is_loading(adapter)
         });
-        let valued =
-            wanted.map(|(adapter, queue)| (adapter.clone(), self.load_value(now, adapter, queue)));
-        let mut line: Vec<(AdapterRef, f64)> = valued.collect();
-        line.sort_by(|(_, a), (_, b)| b.total_cmp(a));
-        line
+        let candidates =
+            needed.map(|(adapter, queue)| (adapter.clone(), self.load_value(now, adapter, queue)));
+        let mut pending: Vec<(AdapterRef, f64)> = candidates.collect();
+        pending.sort_by(|(_, a), (_, b)| b.total_cmp(a));
+        pending
     }
 
     /// Rejects attempts whose adapter can no longer be loaded before their deadline, at once and
     /// with the expected load time.
-    pub(super) fn refuse_hopeless(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+    pub(super) fn refuse_infeasible(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let Some(load_time) = self.engine.as_ref().map(|engine| engine.load_time) else { return };
-        for (place, (adapter, _)) in self.line_of_loads(now).into_iter().enumerate() {
-            let wait = load_time * (place as u32 + 1);
+        for (position, (adapter, _)) in self.pending_loads(now).into_iter().enumerate() {
+            let wait = load_time * (position as u32 + 1);
             let target = WorkTarget::Adapter(adapter);
-            let is_hopeless = |attempt: &WaitingAttempt| {
+            let is_infeasible = |attempt: &WaitingAttempt| {
                 attempt.order.target == target && attempt.order.deadline < now + wait
             };
             let refusal = WorkRefusal::not_run(RefusalReason::DeadlineTooShort, Some(wait));
-            for attempt in self.wait_queue.remove_where(is_hopeless) {
+            for attempt in self.wait_queue.remove_where(is_infeasible) {
                 self.refuse_waiting(now, attempt, refusal, out);
             }
         }
@@ -87,9 +87,10 @@
     ) -> f64 {
         let load_time = self.engine.as_ref().map_or(Duration::ZERO, |engine| engine.load_time);
         let value_of = |attempt: &WaitingAttempt| {
-            let is_late = attempt.order.deadline < now + load_time * LATE_LOADS;
+            let is_deadline_near =
+                attempt.order.deadline < now + load_time * BATCH_PROMOTION_LOAD_TIMES;
             let class = match attempt.order.class {
-                WorkClass::Batch if is_late => WorkClass::Normal,
+                WorkClass::Batch if is_deadline_near => WorkClass::Normal,
                 class => class,
             };
             class.weight() * (1.0 + now.saturating_sub(attempt.arrived_at).as_secs_f64())
@@ -110,18 +111,20 @@
             None => self.begin_load(now, &bundle, out),
             Some(PlanStage::PermitRequested | PlanStage::OrderPending(_)) => {},
             Some(PlanStage::Unanswered(_, until)) if now < until => {},
-            Some(PlanStage::Unanswered(kind, _)) => self.settle_unsure(&bundle, kind, out),
+            Some(PlanStage::Unanswered(kind, _)) => {
+                self.resolve_unanswered_order(&bundle, kind, out)
+            },
         }
     }
 
     fn begin_load(&mut self, now: MonoTime, bundle: &FleetBundle, out: &mut Vec<AgentAction>) {
         let next = self.next_load(now);
-        self.note_wanted(now, next.is_some());
+        self.record_load_need(now, next.is_some());
         if self.is_stopping || now < self.next_permit_request_at {
             return;
         }
         let Some((adapter, value)) = next else { return };
-        if self.make_way(now, bundle, &adapter, value).is_none() {
+        if self.find_slot(now, bundle, &adapter, value).is_none() {
             return;
         }
         let Some(engine) = &mut self.engine else {
@@ -136,14 +139,14 @@
         });
         match is_paced {
             true => out.push(AgentAction::AskPermit(value)),
-            false => self.order_next(now, out),
+            false => self.send_next_order(now, out),
         }
     }
 
     /// Records since when a load has been needed, so that its whole wait is measured.
-    fn note_wanted(&mut self, now: MonoTime, is_wanted: bool) {
+    fn record_load_need(&mut self, now: MonoTime, is_needed: bool) {
         let Some(engine) = &mut self.engine else { return };
-        match is_wanted {
+        match is_needed {
             true => engine.load_needed_since = engine.load_needed_since.or(Some(now)),
             false => engine.load_needed_since = None,
         }
@@ -152,24 +155,24 @@
     /// Returns the adapter to load next, with its value.
     fn next_load(&self, now: MonoTime) -> Option<(AdapterRef, f64)> {
         let engine = self.engine.as_ref()?;
-        let wanted = self.wait_queue.adapter_queues().filter(|(adapter, _)| {
+        let needed = self.wait_queue.adapter_queues().filter(|(adapter, _)| {
             engine.slot_table.get(adapter).is_none() && !engine.is_backing_off(adapter, now)
         });
-        let valued = wanted.map(|(adapter, queue)| {
+        let candidates = needed.map(|(adapter, queue)| {
             let value = self.load_value(now, adapter, queue);
             let rank = match self.rules.load {
                 LoadRule::Value => value,
-                LoadRule::Oldest => oldest_wait(now, queue).as_secs_f64(),
+                LoadRule::Oldest => longest_wait(now, queue).as_secs_f64(),
             };
             (adapter, value, rank)
         });
-        let best = valued.max_by(|(_, _, a), (_, _, b)| a.total_cmp(b))?;
+        let best = candidates.max_by(|(_, _, a), (_, _, b)| a.total_cmp(b))?;
         Some((best.0.clone(), best.1))
     }
 
     /// Finds a slot for an adapter: `Some(None)` when one is free, `Some(victim)` when an adapter
     /// can be evicted, `None` when all loaded adapters have a higher value or are in use.
-    fn make_way(
+    fn find_slot(
         &self,
         now: MonoTime,
         bundle: &FleetBundle,
@@ -190,37 +193,38 @@
             bundle,
         };
         let is_in_use =
-            |other: &AdapterRef| self.wait_queue.has_waiting(other) || self.pins(other) > 0;
+            |other: &AdapterRef| self.wait_queue.has_waiting(other) || self.pin_count(other) > 0;
         let victim = ranking.victim(&engine.slot_table, is_in_use, now)?;
         if self.rules.evict == EvictRule::Lru {
             return Some(Some(victim));
         }
-        let keep = ranking.value(&victim, now) * KEEP_HORIZON_SECS * self.rules.evict_margin;
-        let expected = ranking.value(adapter, now) * KEEP_HORIZON_SECS;
-        let gain = value / WorkClass::Normal.weight() + expected;
-        (gain >= keep).then_some(Some(victim))
+        let victim_value =
+            ranking.value(&victim, now) * DEMAND_HORIZON_SECS * self.rules.evict_margin;
+        let expected = ranking.value(adapter, now) * DEMAND_HORIZON_SECS;
+        let load_gain = value / WorkClass::Normal.weight() + expected;
+        (load_gain >= victim_value).then_some(Some(victim))
     }
 
     /// Handles the answer of the load rate coordinator.
-    pub(super) fn take_permit(
+    pub(super) fn apply_permit_answer(
         &mut self,
         now: MonoTime,
         answer: PermitAnswer,
         out: &mut Vec<AgentAction>,
     ) {
         let engine = self.engine.as_mut();
-        let asking = engine.filter(|engine| {
+        let requesting = engine.filter(|engine| {
             engine.plan.as_ref().is_some_and(|plan| plan.stage == PlanStage::PermitRequested)
         });
-        let Some(engine) = asking else {
+        let Some(engine) = requesting else {
             if answer == PermitAnswer::Granted {
                 out.push(AgentAction::ReturnPermit);
             }
             return;
         };
-        let asked = engine.plan.as_ref().map_or(now, |plan| plan.started_at);
+        let requested_at = engine.plan.as_ref().map_or(now, |plan| plan.started_at);
         match answer {
-            PermitAnswer::Granted if now.saturating_sub(asked) > ANSWER_LIFETIME => {
+            PermitAnswer::Granted if now.saturating_sub(requested_at) > PERMIT_ANSWER_LIFETIME => {
                 engine.plan = None;
                 out.push(AgentAction::ReturnPermit);
             },
@@ -228,7 +232,7 @@
                 if let Some(plan) = &mut engine.plan {
                     plan.has_permit = true;
                 }
-                self.order_next(now, out);
+                self.send_next_order(now, out);
             },
             PermitAnswer::Wait(pause) => {
                 engine.plan = None;
@@ -239,7 +243,7 @@
 
     /// Sends the next order of the plan, or drops the plan when no attempt waits for its adapter
     /// any more.
-    pub(super) fn order_next(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+    pub(super) fn send_next_order(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let Some(bundle) = self.bundle.clone() else {
             return self.drop_plan(out);
         };
@@ -251,12 +255,12 @@
             _ if self.wait_queue.has_waiting(&plan.adapter) => f64::INFINITY,
             _ => return self.drop_plan(out),
         };
-        match self.make_way(now, &bundle, &plan.adapter, value) {
+        match self.find_slot(now, &bundle, &plan.adapter, value) {
             Some(None) if is_possible => {
-                self.send(now, &bundle, OrderKind::Load(plan.adapter), out);
+                self.send_order(now, &bundle, OrderKind::Load(plan.adapter), out);
             },
             Some(Some(victim)) if is_possible => {
-                self.send(now, &bundle, OrderKind::Unload(victim), out);
+                self.send_order(now, &bundle, OrderKind::Unload(victim), out);
             },
             _ => self.drop_plan(out),
         }
@@ -274,7 +278,7 @@
     }
 }
 
-fn oldest_wait(now: MonoTime, queue: &VecDeque<WaitingAttempt>) -> Duration {
+fn longest_wait(now: MonoTime, queue: &VecDeque<WaitingAttempt>) -> Duration {
     let since = queue.iter().map(|attempt| attempt.arrived_at).min();
     now.saturating_sub(since.unwrap_or(now))
 }
--- a/quillcove_core/src/agent/mod.rs
+++ b/quillcove_core/src/agent/mod.rs
@@ -191,13 +191,13 @@
             AgentEvent::Withdrawn(attempt, incarnation) => {
                 self.withdraw(now, attempt, incarnation, out)
             },
-            AgentEvent::Ended(attempt, end) => self.end_run(now, attempt, end),
+            AgentEvent::Ended(attempt, end) => self.finish_run(now, attempt, end),
             AgentEvent::Reported(report) => self.apply_report(now, &report, out),
             AgentEvent::UpstreamLost => self.record_upstream_loss(now, out),
             AgentEvent::Said(notice) => self.apply_notice(now, &notice, out),
-            AgentEvent::NamedNoLimit(attempt) => self.note_no_limit(now, attempt),
-            AgentEvent::OrderEnded(fence, end) => self.end_order(now, fence, end, out),
-            AgentEvent::PermitAnswered(answer) => self.take_permit(now, answer, out),
+            AgentEvent::NamedNoLimit(attempt) => self.record_no_limit(now, attempt),
+            AgentEvent::OrderEnded(fence, end) => self.apply_order_outcome(now, fence, end, out),
+            AgentEvent::PermitAnswered(answer) => self.apply_permit_answer(now, answer, out),
             AgentEvent::BundleTaken(bundle) => self.apply_bundle(now, bundle),
             AgentEvent::HostSeen(state) => self.apply_host_state(now, state, out),
             AgentEvent::StopAsked => self.begin_stop(now, out),
@@ -220,13 +220,13 @@
     /// Performs every step that has become possible.
     fn progress(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         self.refuse_expired(now, out);
-        self.refuse_hopeless(now, out);
-        self.refuse_beyond_limit(now, out);
+        self.refuse_infeasible(now, out);
+        self.refuse_over_rate_limit(now, out);
         self.expire_pins(now);
-        if self.is_host_state_confirmed && self.hold_claim(now, out) {
+        if self.is_host_state_confirmed && self.ensure_claim(now, out) {
             self.start_ready(now, out);
             // An engine that is draining or in a requested pause gets no orders either.
-            if self.check_standing(now).is_ok() {
+            if self.check_upstream_status(now).is_ok() {
                 self.advance_loads(now, out);
             }
         }
@@ -238,7 +238,7 @@
 
     fn apply_report(&mut self, now: MonoTime, report: &EngineReport, out: &mut Vec<AgentAction>) {
         if !self.is_upstream_up || self.upstream_incarnation != report.incarnation {
-            self.note_upstream_end(now);
+            self.record_upstream_exit(now);
             self.upstream_starts += 1;
             self.upstream_status = UpstreamStanding::default();
             self.upstream_incarnation = report.incarnation;
@@ -256,7 +256,7 @@
         engine.record_fence(report.highest_fence);
         let is_settling = now < engine.settle_until;
         let reflects_all = engine.reflects_all_orders(report, self.rules.checks_fence);
-        let pins = |adapter: &AdapterRef| self.pins(adapter);
+        let pins = |adapter: &AdapterRef| self.pin_count(adapter);
         engine.slot_table.update(report, pins, is_settling, reflects_all, now);
         self.engine = Some(engine);
     }
@@ -295,7 +295,7 @@
 
     fn record_upstream_loss(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         self.is_upstream_up = false;
-        self.note_upstream_end(now);
+        self.record_upstream_exit(now);
         let refusal = WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SOON));
         self.refuse_all(now, refusal, out);
     }
--- a/quillcove_core/src/agent/orders.rs
+++ b/quillcove_core/src/agent/orders.rs
@@ -12,12 +12,12 @@
 use crate::verdict::{RefusalReason, WorkRefusal};
 
 /// Delay before an unanswered order is resent to an engine that checks fences.
-const RESEND_PAUSE: Duration = Duration::from_millis(200);
+const RESEND_DELAY: Duration = Duration::from_millis(200);
 
 impl AgentMachine {
     /// Ensures that this agent is the only one whose orders the engine accepts, before anything
     /// runs or loads there. Returns whether that is the case.
-    pub(super) fn hold_claim(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) -> bool {
+    pub(super) fn ensure_claim(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) -> bool {
         if self.rules.kind == UpstreamKind::Service {
             return true;
         }
@@ -42,7 +42,7 @@
     }
 
     /// Handles the outcome of a claim order.
-    fn end_claim(
+    fn apply_claim_outcome(
         &mut self,
         now: MonoTime,
         fence: OrderFence,
@@ -53,7 +53,7 @@
         engine.claim = match end {
             OrderEnd::Done => ClaimState::Held,
             OrderEnd::Stale(_) | OrderEnd::Failed | OrderEnd::Unknown => {
-                ClaimState::Waiting(now + RESEND_PAUSE)
+                ClaimState::Waiting(now + RESEND_DELAY)
             },
         };
         match end {
@@ -66,7 +66,7 @@
         }
     }
 
-    pub(super) fn send(
+    pub(super) fn send_order(
         &mut self,
         now: MonoTime,
         bundle: &FleetBundle,
@@ -85,11 +85,11 @@
             },
             OrderKind::Claim => {},
         }
-        issue(engine, bundle, kind, out);
+        issue_order(engine, bundle, kind, out);
     }
 
     /// Handles the outcome of the pending order. Outcomes of other orders are late and ignored.
-    pub(super) fn end_order(
+    pub(super) fn apply_order_outcome(
         &mut self,
         now: MonoTime,
         fence: OrderFence,
@@ -100,23 +100,23 @@
             return;
         };
         if engine.claim == ClaimState::OrderPending(fence) {
-            return self.end_claim(now, fence, end, out);
+            return self.apply_claim_outcome(now, fence, end, out);
         }
         let Some(order) = current_order(engine, fence) else {
             return;
         };
         match end {
-            OrderEnd::Done => self.order_done(now, &order, out),
-            OrderEnd::Failed => self.order_failed(now, &order, out),
+            OrderEnd::Done => self.apply_done_order(now, &order, out),
+            OrderEnd::Failed => self.apply_failed_order(now, &order, out),
             OrderEnd::Stale(highest) => {
                 engine.record_fence(highest);
-                undo(engine, &order.kind);
+                revert_slot(engine, &order.kind);
                 self.drop_plan(out);
                 self.drop_outdated_bundle(highest.bundle, out);
             },
             OrderEnd::Unknown => {
                 let pause = match self.rules.checks_fence {
-                    true => RESEND_PAUSE,
+                    true => RESEND_DELAY,
                     false => self.rules.order_lifetime,
                 };
                 if let Some(plan) = &mut engine.plan {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn order_done(&mut self, now: MonoTime, order: &EngineOrder, out: &mut Vec<AgentAction>) {
+    fn apply_done_order(&mut self, now: MonoTime, order: &EngineOrder, out: &mut Vec<AgentAction>) {
         let Some(engine) = &mut self.engine else {
             return;
         };
@@ -134,7 +134,7 @@
         match &order.kind {
             OrderKind::Unload(adapter) => {
                 engine.slot_table.remove(adapter);
-                self.order_next(now, out);
+                self.send_next_order(now, out);
             },
             OrderKind::Claim => {},
             OrderKind::Load(adapter) => {
@@ -151,11 +151,16 @@
 
     /// Handles a failed order. A failed load frees its slot and rejects the attempts that wait for
     /// the adapter, so that they are sent to other engines.
-    fn order_failed(&mut self, now: MonoTime, order: &EngineOrder, out: &mut Vec<AgentAction>) {
+    fn apply_failed_order(
+        &mut self,
+        now: MonoTime,
+        order: &EngineOrder,
+        out: &mut Vec<AgentAction>,
+    ) {
         let Some(engine) = &mut self.engine else {
             return;
         };
-        undo(engine, &order.kind);
+        revert_slot(engine, &order.kind);
         if let OrderKind::Load(adapter) = &order.kind {
             let pause = engine.record_failed_load(adapter, now);
             let refusal = WorkRefusal::not_run(RefusalReason::LoadFailed, Some(pause));
@@ -170,7 +175,7 @@
     /// Resolves an order without a response. An engine that checks fences gets the order again
     /// under a higher fence, which also makes it reject the first copy. With another engine, the
     /// order's lifetime has passed by now, and the slot is set by the next report.
-    pub(super) fn settle_unsure(
+    pub(super) fn resolve_unanswered_order(
         &mut self,
         bundle: &FleetBundle,
         kind: OrderKind,
@@ -185,12 +190,12 @@
             }
             return self.drop_plan(out);
         }
-        issue(engine, bundle, kind, out);
+        issue_order(engine, bundle, kind, out);
     }
 }
 
 /// Assigns the next fence to an order of the plan and sends it.
-fn issue(
+fn issue_order(
     engine: &mut EngineState,
     bundle: &FleetBundle,
     kind: OrderKind,
@@ -211,7 +216,7 @@
 }
 
 /// Reverts the state of a slot after an order that was not executed.
-fn undo(engine: &mut EngineState, kind: &OrderKind) {
+fn revert_slot(engine: &mut EngineState, kind: &OrderKind) {
     match kind {
         OrderKind::Load(adapter) => engine.slot_table.remove(adapter),
         OrderKind::Unload(adapter) => {
--- a/quillcove_core/src/agent/running.rs
+++ b/quillcove_core/src/agent/running.rs
@@ -11,7 +11,7 @@
 impl AgentMachine {
     pub(super) fn start_ready(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         // After a requested pause, work resumes in growing steps, so only a few attempts may start.
-        while self.running.len() < self.capacity() && self.may_start(now) {
+        while self.running.len() < self.capacity() && self.can_send_attempt(now) {
             let is_ready = |target: &WorkTarget| self.is_target_ready(target);
             let may_start_batch = self.may_start_batch(now);
             let is_admitted = |class| class != WorkClass::Batch || may_start_batch;
@@ -34,7 +34,7 @@
     /// until an attempt's deadline has passed.
     fn may_start_batch(&self, now: MonoTime) -> bool {
         let batch_limit = (self.capacity() as f64 * self.rules.batch_share).ceil() as usize;
-        if self.running_of(WorkClass::Batch) >= batch_limit {
+        if self.running_count(WorkClass::Batch) >= batch_limit {
             return false;
         }
         let is_eager = self.rules.batch == BatchRule::Eager;
@@ -52,7 +52,7 @@
     fn start(&mut self, now: MonoTime, attempt: WaitingAttempt, out: &mut Vec<AgentAction>) {
         let id = attempt.order.attempt;
         self.upstream_status.begin(now);
-        self.note_use(now, &attempt.order.target);
+        self.record_use(now, &attempt.order.target);
         self.marks.set(id, AttemptMark::Started);
         let running = RunningAttempt {
             started: now,
@@ -73,11 +73,11 @@
         }
     }
 
-    pub(super) fn running_of(&self, class: WorkClass) -> usize {
+    pub(super) fn running_count(&self, class: WorkClass) -> usize {
         self.running.values().filter(|running| running.class == class).count()
     }
 
-    pub(super) fn end_run(&mut self, now: MonoTime, attempt: AttemptId, end: RunEnd) {
+    pub(super) fn finish_run(&mut self, now: MonoTime, attempt: AttemptId, end: RunEnd) {
         let Some(running) = self.running.remove(&attempt) else {
             return;
         };
@@ -89,8 +89,8 @@
             RunEnd::Complete(_) | RunEnd::Broken => AttemptMark::Started,
         };
         self.marks.close(attempt, mark, now, self.rules.mark_lifetime);
-        self.note_run_end(now, running.identity, end);
-        self.note_use(now, &running.target);
+        self.record_run_end(now, running.identity, end);
+        self.record_use(now, &running.target);
         if let (WorkTarget::Adapter(adapter), RunEnd::Broken) = (running.target, end) {
             let until = now + self.rules.settle_time;
             self.lingering_pins.push_back(LingeringPin { until, adapter });
@@ -104,7 +104,7 @@
         }
     }
 
-    fn note_use(&mut self, now: MonoTime, target: &WorkTarget) {
+    fn record_use(&mut self, now: MonoTime, target: &WorkTarget) {
         let Some(engine) = &mut self.engine else { return };
         let WorkTarget::Adapter(adapter) = target else { return };
         if let Some(slot) = engine.slot_table.get_mut(adapter) {
@@ -115,7 +115,7 @@
     /// Returns the number of this agent's runs that use an adapter, under any process start of the
     /// engine: from their start to the last byte of the response, and after a cut-off response
     /// until the engine must have noticed.
-    pub(super) fn pins(&self, adapter: &AdapterRef) -> usize {
+    pub(super) fn pin_count(&self, adapter: &AdapterRef) -> usize {
         let uses = |running: &&RunningAttempt| match &running.target {
             WorkTarget::Adapter(other) => other == adapter,
             WorkTarget::Service => false,
--- a/quillcove_core/src/agent/said.rs
+++ b/quillcove_core/src/agent/said.rs
@@ -15,7 +15,7 @@
 
 /// Pause announced to entries while the upstream drains, since its successor may run by then; also
 /// the longest pause announced because of a rate limit.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
+const RECHECK_PAUSE: Duration = Duration::from_secs(2);
 
 impl AgentMachine {
     /// Applies a status that the upstream sent with a response. Attempts queued for an upstream
@@ -35,7 +35,7 @@
                 self.refuse_all_draining(now, out);
             },
             Some(StandingChange::Rests(until)) => {
-                self.refuse_all(now, resting(until.saturating_sub(now)), out);
+                self.refuse_all(now, pause_refusal(until.saturating_sub(now)), out);
             },
             // Attempts whose send slot is too far away are rejected by the next `progress`.
             Some(StandingChange::Limits(_)) | None => {},
@@ -81,22 +81,22 @@
     /// assert!(machine.wants_work(Duration::ZERO));
     /// ```
     pub fn wants_work(&self, now: MonoTime) -> bool {
-        self.check_standing(now).is_ok()
+        self.check_upstream_status(now).is_ok()
     }
 
     /// Rejects an attempt while the upstream drains or is in a requested pause.
-    pub(super) fn check_standing(&self, now: MonoTime) -> Result<(), WorkRefusal> {
+    pub(super) fn check_upstream_status(&self, now: MonoTime) -> Result<(), WorkRefusal> {
         if self.upstream_status.is_leaving() {
             return Err(WorkRefusal::not_run(RefusalReason::Leaving, Some(Duration::ZERO)));
         }
         match self.upstream_status.rest_end(now) {
-            Some(end) => Err(resting(end.saturating_sub(now))),
+            Some(end) => Err(pause_refusal(end.saturating_sub(now))),
             None => Ok(()),
         }
     }
 
     /// Returns whether another attempt may be sent to the upstream now.
-    pub(super) fn may_start(&self, now: MonoTime) -> bool {
+    pub(super) fn can_send_attempt(&self, now: MonoTime) -> bool {
         !self.upstream_status.is_leaving() && self.upstream_status.takes_work(now)
     }
 
@@ -104,18 +104,18 @@
     /// requested pause, or because other attempts wait for their send slots under its rate limit. A
     /// rate limit may be lifted at any moment, so the pause that it causes is short and entries
     /// check again after it.
-    pub(super) fn rest_left(&self, now: MonoTime) -> Duration {
+    pub(super) fn pause_left(&self, now: MonoTime) -> Duration {
         if self.upstream_status.is_leaving() {
-            return LOOK_PAUSE;
+            return RECHECK_PAUSE;
         }
-        let rest = self
+        let requested_pause = self
             .upstream_status
             .rest_end(now)
             .map_or(Duration::ZERO, |end| end.saturating_sub(now));
-        rest.max(self.limit_wait(now, self.wait_queue.len()).min(LOOK_PAUSE))
+        requested_pause.max(self.send_slot_wait(now, self.wait_queue.len()).min(RECHECK_PAUSE))
     }
 }
 
-fn resting(left: Duration) -> WorkRefusal {
+fn pause_refusal(left: Duration) -> WorkRefusal {
     WorkRefusal::not_run(RefusalReason::Overloaded, Some(left))
 }
--- a/quillcove_core/src/agent/view.rs
+++ b/quillcove_core/src/agent/view.rs
@@ -94,13 +94,13 @@
             upstream_up: self.is_upstream_up,
             leaving: self.is_leaving(),
             upstream_leaving: self.upstream_status.is_leaving(),
-            rest_left_ms: self.rest_left(now).as_millis() as u64,
+            rest_left_ms: self.pause_left(now).as_millis() as u64,
             upstream_limit: self.upstream_status.limit().map(RateLimit::rate),
             bundle: self.bundle.as_ref().map_or(0, |bundle| bundle.version),
             running: self.running.len(),
             waiting: self.wait_queue.len(),
             capacity: self.capacity(),
-            running_by_class: WorkClass::ALL.map(|class| self.running_of(class)),
+            running_by_class: WorkClass::ALL.map(|class| self.running_count(class)),
             marks: self.marks.len(),
             once_runs: self.book.runs(),
             engine_incarnation: engine.map_or(0, |engine| engine.incarnation),
@@ -166,8 +166,8 @@
             waiting: self.wait_queue.len(),
             capacity: self.capacity(),
             bundle: self.bundle.as_ref().map_or(0, |bundle| bundle.version),
-            crashes: self.crash_news(),
-            rest_ms: self.rest_left(self.last_event_at).as_millis() as u64,
+            crashes: self.crash_report(),
+            rest_ms: self.pause_left(self.last_event_at).as_millis() as u64,
         }
     }
 
@@ -180,7 +180,7 @@
             SlotView {
                 adapter: adapter.to_string(),
                 state: slot_label(slot.state),
-                pins: self.pins(adapter),
+                pins: self.pin_count(adapter),
                 foreign: slot.inherited_requests,
                 demand: meter.map_or(0.0, |meter| meter.rate(now, self.rules.half_life)),
             }
