--- a/quillcove_core/src/agent/admission.rs
+++ b/quillcove_core/src/agent/admission.rs
@@ -153,7 +153,7 @@
         refusal: WorkRefusal,
         out: &mut Vec<AgentAction>,
     ) {
-        self.marks.close(attempt, AttemptMark::Refused, now, self.rules.mark_lifetime);
+        self.marks.set_expiring(attempt, AttemptMark::Refused, now, self.rules.mark_lifetime);
         out.push(AgentAction::Refuse(attempt, refusal));
     }
 
@@ -190,7 +190,7 @@
             None if self.marks.is_full() => WithdrawAnswer::MayHaveRun,
             None => {
                 let lifetime = self.rules.mark_lifetime;
-                self.marks.close(attempt, AttemptMark::Refused, now, lifetime);
+                self.marks.set_expiring(attempt, AttemptMark::Refused, now, lifetime);
                 WithdrawAnswer::NotRun
             },
             Some(AttemptMark::Refused) => WithdrawAnswer::NotRun,
--- a/quillcove_core/src/agent/marks.rs
+++ b/quillcove_core/src/agent/marks.rs
@@ -6,7 +6,7 @@
 use crate::ids::{AttemptId, MonoTime};
 
 /// Maximum number of marks. Beyond it, new attempts are rejected rather than old marks dropped.
-pub const MARK_LIMIT: usize = 200_000;
+pub const MAX_MARKS: usize = 200_000;
 
 /// State of an attempt that is in progress or has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct MarkTable {
     marks: BTreeMap<AttemptId, AttemptMark>,
-    expiries: VecDeque<(MonoTime, AttemptId)>,
+    expiry_queue: VecDeque<(MonoTime, AttemptId)>,
 }
 
 impl MarkTable {
@@ -46,7 +46,7 @@
     /// assert!(!MarkTable::default().is_full());
     /// ```
     pub fn is_full(&self) -> bool {
-        self.marks.len() >= MARK_LIMIT
+        self.marks.len() >= MAX_MARKS
     }
 
     /// Sets a mark that does not expire until it is replaced.
@@ -69,11 +69,11 @@
     /// use quillcove_core::agent::marks::{AttemptMark, MarkTable};
     ///
     /// let mut marks = MarkTable::default();
-    /// marks.close(1, AttemptMark::Refused, Duration::ZERO, Duration::from_secs(1));
+    /// marks.set_expiring(1, AttemptMark::Refused, Duration::ZERO, Duration::from_secs(1));
     /// marks.expire(Duration::from_secs(2));
     /// assert_eq!(marks.get(1), None);
     /// ```
-    pub fn close(
+    pub fn set_expiring(
         &mut self,
         attempt: AttemptId,
         mark: AttemptMark,
@@ -81,7 +81,7 @@
         lifetime: Duration,
     ) {
         self.marks.insert(attempt, mark);
-        self.expiries.push_back((now + lifetime, attempt));
+        self.expiry_queue.push_back((now + lifetime, attempt));
     }
 
     /// Removes expired marks.
@@ -93,11 +93,11 @@
     /// MarkTable::default().expire(Duration::ZERO);
     /// ```
     pub fn expire(&mut self, now: MonoTime) {
-        while let Some((expires, attempt)) = self.expiries.front().copied() {
+        while let Some((expires, attempt)) = self.expiry_queue.front().copied() {
             if expires > now {
                 return;
             }
-            self.expiries.pop_front();
+            self.expiry_queue.pop_front();
             self.marks.remove(&attempt);
         }
     }
--- a/quillcove_core/src/agent/running.rs
+++ b/quillcove_core/src/agent/running.rs
@@ -88,7 +88,7 @@
             RunEnd::NotRun => AttemptMark::Refused,
             RunEnd::Complete(_) | RunEnd::Broken => AttemptMark::Started,
         };
-        self.marks.close(attempt, mark, now, self.rules.mark_lifetime);
+        self.marks.set_expiring(attempt, mark, now, self.rules.mark_lifetime);
         self.record_run_end(now, running.identity, end);
         self.record_use(now, &running.target);
         if let (WorkTarget::Adapter(adapter), RunEnd::Broken) = (running.target, end) {
