--- a/quillcove_core/src/agent/event.rs
+++ b/quillcove_core/src/agent/event.rs
@@ -16,7 +16,7 @@
 use crate::standing::notice::UpstreamNotice;
 use crate::verdict::WorkRefusal;
 
-/// The kind of service that an attempt needs from the upstream.
+/// Target of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum WorkTarget {
     /// A model engine with this adapter.
--- a/quillcove_core/src/agent/loads.rs
+++ b/quillcove_core/src/agent/loads.rs
@@ -27,7 +27,7 @@
 
 impl AgentMachine {
     /// Returns the expected wait until an attempt can start: zero for a loaded adapter, otherwise
-    /// the time of the loads ahead of its own and of its own.
+    /// the total time of the loads ahead of its own load and of that load.
     pub(super) fn expected_wait(&self, now: MonoTime, order: &RunOrder) -> Duration {
         let WorkTarget::Adapter(adapter) = &order.target else { return Duration::ZERO };
         let Some(engine) = &self.engine else { return Duration::ZERO };
