--- a/quillcove_core/src/agent/engine.rs
+++ b/quillcove_core/src/agent/engine.rs
@@ -116,7 +116,7 @@
     /// let engine = EngineState::take_over(&EngineReport::default(), 0, Duration::ZERO);
     /// assert!(engine.plan.is_none());
     /// ```
-    pub fn take_over(report: &EngineReport, least_term: u64, settle_until: MonoTime) -> Self {
+    pub fn take_over(report: &EngineReport, min_term: u64, settle_until: MonoTime) -> Self {
         Self {
             incarnation: report.incarnation,
             batch_size: report.batch.max(1),
@@ -131,7 +131,7 @@
             loads_done: 0,
             last_fence: report.highest_fence,
             seen_fence: report.highest_fence,
-            term: (report.highest_fence.term + 1).max(least_term),
+            term: (report.highest_fence.term + 1).max(min_term),
         }
     }
 
