--- a/quillcove_core/src/agent/admission.rs
+++ b/quillcove_core/src/agent/admission.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt may wait here, and the refusals of those that may not.
+//! Admission of attempts to the queue, and their rejection and withdrawal.
 
 use std::time::Duration;
 
@@ -12,23 +12,28 @@
 use crate::verdict::{RefusalReason, SOON, WorkRefusal};
 
 impl AgentMachine {
-    pub(super) fn arrive(&mut self, now: MonoTime, order: RunOrder, out: &mut Vec<AgentAction>) {
+    pub(super) fn receive_attempt(
+        &mut self,
+        now: MonoTime,
+        order: RunOrder,
+        out: &mut Vec<AgentAction>,
+    ) {
         let attempt = order.attempt;
         if let Err(refusal) = self.check_identity(&order) {
             out.push(AgentAction::Refuse(attempt, refusal));
             return;
         }
-        self.note_demand(now, &order);
+        self.record_demand(now, &order);
         match self.admit(now, &order, out) {
             Ok(once) => {
                 self.marks.set(attempt, AttemptMark::Waiting);
-                self.room.push(WaitingAttempt { order, once, since: now });
+                self.wait_queue.push(WaitingAttempt { order, once, arrived_at: now });
             },
             Err(refusal) => self.refuse(now, attempt, refusal, out),
         }
     }
 
-    /// Checks that the order is meant for this run of the agent and is no copy.
+    /// Checks that the attempt is addressed to this incarnation of the agent and is not a copy.
     fn check_identity(&self, order: &RunOrder) -> Result<(), WorkRefusal> {
         if order.incarnation != self.incarnation {
             return Err(WorkRefusal::not_run(
@@ -48,28 +53,28 @@
         }
     }
 
-    fn note_demand(&mut self, now: MonoTime, order: &RunOrder) {
+    fn record_demand(&mut self, now: MonoTime, order: &RunOrder) {
         if let WorkTarget::Adapter(adapter) = &order.target {
             let meter = self.demand.entry(adapter.clone()).or_default();
             meter.add(now, 1.0, self.rules.half_life);
         }
     }
 
-    /// Decides whether an order may wait here. The claim comes last, so that no refusal has to
-    /// give it back.
+    /// Decides whether an attempt may be queued. The run-once claim is taken last, so that no
+    /// rejection has to release it.
     fn admit(
         &mut self,
         now: MonoTime,
         order: &RunOrder,
         out: &mut Vec<AgentAction>,
     ) -> Result<Option<OnceKey>, WorkRefusal> {
-        self.check_presence()?;
-        self.check_standing(now)?;
+        self.check_availability()?;
+        self.check_upstream_status(now)?;
         self.check_target(order)?;
         if order.deadline <= now {
             return Err(WorkRefusal::not_run(RefusalReason::DeadlinePassed, None));
         }
-        self.check_limit(now, self.room.len())?;
+        self.check_rate_limit(now, self.wait_queue.len())?;
         let wait = self.expected_wait(now, order);
         if now + wait > order.deadline {
             return Err(WorkRefusal::not_run(RefusalReason::DeadlineTooShort, Some(wait)));
@@ -81,7 +86,7 @@
         }
     }
 
-    pub(super) fn check_presence(&self) -> Result<(), WorkRefusal> {
+    pub(super) fn check_availability(&self) -> Result<(), WorkRefusal> {
         if self.is_leaving() {
             return Err(WorkRefusal::not_run(RefusalReason::Leaving, Some(Duration::ZERO)));
         }
@@ -107,18 +112,18 @@
         }
     }
 
-    /// Keeps the queue bounded: a less urgent attempt makes room for a more urgent one.
+    /// Keeps the queue bounded: a more urgent attempt displaces a less urgent one.
     fn make_room(
         &mut self,
         now: MonoTime,
         class: WorkClass,
         out: &mut Vec<AgentAction>,
     ) -> Result<(), WorkRefusal> {
-        if self.room.len() < self.rules.queue_limit {
+        if self.wait_queue.len() < self.rules.queue_limit {
             return Ok(());
         }
         let overflow = WorkRefusal::overloaded();
-        match self.room.take_less_urgent(class) {
+        match self.wait_queue.remove_less_urgent(class) {
             Some(attempt) => {
                 self.refuse_waiting(now, attempt, overflow, out);
                 Ok(())
@@ -127,7 +132,7 @@
         }
     }
 
-    /// Refuses an attempt that waits, and gives its claim back.
+    /// Rejects a queued attempt and releases its run-once claim.
     pub(super) fn refuse_waiting(
         &mut self,
         now: MonoTime,
@@ -148,7 +153,7 @@
         refusal: WorkRefusal,
         out: &mut Vec<AgentAction>,
     ) {
-        self.marks.close(attempt, AttemptMark::Refused, now, self.rules.mark_lifetime);
+        self.marks.set_expiring(attempt, AttemptMark::Refused, now, self.rules.mark_lifetime);
         out.push(AgentAction::Refuse(attempt, refusal));
     }
 
@@ -158,16 +163,16 @@
         refusal: WorkRefusal,
         out: &mut Vec<AgentAction>,
     ) {
-        for attempt in self.room.take_where(|_| true) {
+        for attempt in self.wait_queue.remove_where(|_| true) {
             self.refuse_waiting(now, attempt, refusal, out);
         }
     }
 
-    pub(super) fn refuse_late(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
-        if self.room.is_empty() {
+    pub(super) fn refuse_expired(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+        if self.wait_queue.is_empty() {
             return;
         }
-        for attempt in self.room.take_where(|attempt| attempt.order.deadline <= now) {
+        for attempt in self.wait_queue.remove_where(|attempt| attempt.order.deadline <= now) {
             let refusal = WorkRefusal::not_run(RefusalReason::DeadlinePassed, None);
             self.refuse_waiting(now, attempt, refusal, out);
         }
@@ -185,13 +190,13 @@
             None if self.marks.is_full() => WithdrawAnswer::MayHaveRun,
             None => {
                 let lifetime = self.rules.mark_lifetime;
-                self.marks.close(attempt, AttemptMark::Refused, now, lifetime);
+                self.marks.set_expiring(attempt, AttemptMark::Refused, now, lifetime);
                 WithdrawAnswer::NotRun
             },
             Some(AttemptMark::Refused) => WithdrawAnswer::NotRun,
             Some(AttemptMark::Started) => WithdrawAnswer::MayHaveRun,
             Some(AttemptMark::Waiting) => {
-                if let Some(waiting) = self.room.take(attempt) {
+                if let Some(waiting) = self.wait_queue.remove(attempt) {
                     let refusal = WorkRefusal::not_run(RefusalReason::Withdrawn, None);
                     self.refuse_waiting(now, waiting, refusal, out);
                 }
--- a/quillcove_core/src/agent/crashes.rs
+++ b/quillcove_core/src/agent/crashes.rs
@@ -1,4 +1,5 @@
-//! Under which requests the upstream of this agent ends. Entries hear of it with each answer.
+//! Detection of fatal requests, under which the upstream of this agent exits. Entries receive them
+//! with each response.
 
 use super::AgentMachine;
 use super::event::RunEnd;
@@ -7,18 +8,20 @@
 use crate::crash::watch::{AnswerBreak, ReplicaRun};
 use crate::ids::MonoTime;
 
-/// Requests of which each answer tells at most: in JSON they take about 150 bytes each.
-const TOLD_REQUESTS: usize = 8;
+/// Maximum number of fatal requests in one response: each takes about 150 bytes of JSON.
+const MAX_REPORTED_REQUESTS: usize = 8;
 
 impl AgentMachine {
     fn upstream_run(&self) -> ReplicaRun {
-        // Another process of this host's agent counts its runs anew.
-        let born = self.incarnation.wrapping_add(self.upstream_runs);
+        // A restarted agent counts the upstream's process starts from zero; its incarnation keeps
+        // them distinct from those counted by its predecessor.
+        let born = self.incarnation.wrapping_add(self.upstream_starts);
         ReplicaRun { replica: self.host.clone(), born: Some(born) }
     }
 
-    /// Notes how a run ended: one that broke off is due to the upstream's end, if that has ended.
-    pub(super) fn note_run_end(
+    /// Records the outcome of a run. A response that was cut off counts against its request if the
+    /// upstream turns out to have exited.
+    pub(super) fn record_run_end(
         &mut self,
         now: MonoTime,
         identity: Option<RequestIdentity>,
@@ -31,25 +34,25 @@
             RunEnd::Broken => {
                 let run = self.upstream_run();
                 let broke = AnswerBreak { identity, has_begun: false, sent_at: now };
-                self.crashes.note_broken(&run, broke, now);
+                self.crash_watch.note_broken(&run, broke, now);
             },
             RunEnd::Complete(status) if (200..300).contains(&status) => {
-                self.crashes.note_good(identity, now);
+                self.crash_watch.note_good(identity, now);
             },
             RunEnd::Complete(_) | RunEnd::NotRun => {},
         }
     }
 
-    /// Notes that the upstream has ended, or restarted unseen.
-    pub(super) fn note_upstream_end(&mut self, now: MonoTime) {
+    /// Records that the upstream exited, or restarted unnoticed.
+    pub(super) fn record_upstream_exit(&mut self, now: MonoTime) {
         let run = self.upstream_run();
-        self.crashes.confirm_end(&run, now);
+        self.crash_watch.confirm_end(&run, now);
     }
 
-    /// What entries are told with each answer.
-    pub(super) fn crash_news(&self) -> CrashBeacon {
-        let mut known = self.crashes.book().all(self.last_event);
-        known.ends.truncate(TOLD_REQUESTS);
+    /// Returns the crash records that are sent to entries with each response.
+    pub(super) fn crash_report(&self) -> CrashBeacon {
+        let mut known = self.crash_watch.book().all(self.last_event_at);
+        known.ends.truncate(MAX_REPORTED_REQUESTS);
         known
     }
 }
--- a/quillcove_core/src/agent/engine.rs
+++ b/quillcove_core/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! What the agent knows of its engine: slots, fences and the load in progress.
+//! State of the agent's engine: slots, fences and the load in progress.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,101 +9,104 @@
 use crate::fence::OrderFence;
 use crate::ids::{BundleVersion, Incarnation, MonoTime};
 
-/// Assumed time of a load before the first one was seen.
-const FIRST_LOAD_TIME: Duration = Duration::from_secs(1);
+/// Load time assumed until the first load has been measured.
+const INITIAL_LOAD_TIME: Duration = Duration::from_secs(1);
 
-/// Weight of the newest load in the average load time.
-const LOAD_TIME_GAIN: f64 = 0.2;
+/// Smoothing factor of the moving average of load times.
+const LOAD_TIME_SMOOTHING: f64 = 0.2;
 
-/// First pause after a failed load; doubles with each further failure.
-const FIRST_BACKOFF: Duration = Duration::from_millis(500);
+/// Backoff after the first failed load; doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest pause after failed loads.
-const LAST_BACKOFF: Duration = Duration::from_secs(30);
+/// Upper bound of the backoff after failed loads.
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
-/// Progress of the one load that an agent works on.
+/// Progress of a load; an agent runs one load at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadPlan {
     /// Adapter to load.
     pub adapter: AdapterRef,
-    /// When the plan began.
-    pub since: MonoTime,
-    /// Whether the keeper's permit is held.
+    /// Start time of the plan.
+    pub started_at: MonoTime,
+    /// Whether a permit of the load rate coordinator is held.
     pub has_permit: bool,
-    /// Where it stands.
+    /// Current stage.
     pub stage: PlanStage,
 }
 
 /// Stages of a load.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanStage {
-    /// The keeper was asked.
-    Asking,
-    /// An order is out.
-    Ordered(EngineOrder),
-    /// An order got no answer; nothing else is ordered until this time.
-    Unsure(OrderKind, MonoTime),
+    /// A permit was requested.
+    PermitRequested,
+    /// An order was sent and its outcome is pending.
+    OrderPending(EngineOrder),
+    /// An order got no response; no other order is sent before this time.
+    Unanswered(OrderKind, MonoTime),
 }
 
-/// Whether this agent alone gives the engine orders.
+/// Whether this agent is the only one whose orders the engine accepts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimState {
-    /// A first order has to raise the fence, so that orders still on their way from an earlier
-    /// agent, or from before the engine's restart, are refused.
+    /// A first order must raise the fence, so that the engine rejects orders still in transit from
+    /// an earlier agent or from before the engine's restart.
     Needed,
-    /// That order is out.
-    Ordered(OrderFence),
-    /// Orders on their way may still take effect until this time. After an order without an
-    /// answer, or with an engine that does not check fences.
+    /// The claim order was sent and its outcome is pending.
+    OrderPending(OrderFence),
+    /// Orders in transit may still take effect until this time. Used after an unanswered claim
+    /// order, or with an engine that does not check fences.
     Waiting(MonoTime),
-    /// The fence stands.
+    /// The claim is established.
     Held,
 }
 
-/// Pause after failed loads of one adapter.
+/// Backoff after failed loads of one adapter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadBackoff {
-    /// No load before this time.
+    /// Time before which the adapter is not loaded.
     pub until: MonoTime,
-    /// Length of the pause.
+    /// Length of the current backoff.
     pub pause: Duration,
 }
 
-/// State of one run of the engine under this agent.
+/// State of one process start of the engine under this agent.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// The engine's run.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// Requests in one batch.
-    pub batch: usize,
-    /// Slots.
-    pub table: SlotTable,
-    /// Whether this agent alone gives orders.
+    /// Number of requests in one batch.
+    pub batch_size: usize,
+    /// Adapter slots.
+    pub slot_table: SlotTable,
+    /// Whether this agent is the only one whose orders the engine accepts.
     pub claim: ClaimState,
     /// Load in progress.
     pub plan: Option<LoadPlan>,
-    /// Nothing is unloaded before this time, because reports may be older than the takeover.
+    /// Time before which nothing is unloaded, because reports may predate the takeover.
     pub settle_until: MonoTime,
-    /// Another agent has taken the engine over.
+    /// Whether another agent has taken the engine over.
     pub is_superseded: bool,
-    /// Average time from the wish for a load, or from the load before it, to its end; the wait
-    /// for permits is part of it.
+    /// Moving average of the time from the need for a load, or from the preceding load, to its end;
+    /// includes the wait for a permit.
     pub load_time: Duration,
-    /// Since when an adapter is wanted without a pause; starts anew with each load.
-    pub wanted_since: Option<MonoTime>,
-    /// Pauses by adapter.
+    /// Time since which some adapter has been waiting to be loaded without interruption; restarts
+    /// with each load.
+    pub load_needed_since: Option<MonoTime>,
+    /// Backoffs by adapter.
     pub backoffs: BTreeMap<AdapterRef, LoadBackoff>,
-    /// Loads that the engine did.
+    /// Number of completed loads.
     pub loads_done: u64,
-    /// Highest fence of this agent, or of an earlier one at the takeover.
+    /// Fence of this agent's latest order, or at the takeover the highest fence that the engine
+    /// reported.
     last_fence: OrderFence,
-    /// Highest fence that the engine has reported or answered.
+    /// Highest fence that the engine has reported or returned in a response.
     pub seen_fence: OrderFence,
     term: u64,
 }
 
 impl EngineState {
-    /// Takes over an engine as it reports itself, in a term above all that it has seen.
+    /// Takes over an engine in the state that it reports, under a term above every term it has
+    /// seen.
     ///
     /// ```
     /// use std::time::Duration;
@@ -113,27 +116,27 @@
     /// let engine = EngineState::take_over(&EngineReport::default(), 0, Duration::ZERO);
     /// assert!(engine.plan.is_none());
     /// ```
-    pub fn take_over(report: &EngineReport, least_term: u64, settle_until: MonoTime) -> Self {
+    pub fn take_over(report: &EngineReport, min_term: u64, settle_until: MonoTime) -> Self {
         Self {
             incarnation: report.incarnation,
-            batch: report.batch.max(1),
-            table: SlotTable::from_report(report, Duration::ZERO),
+            batch_size: report.batch.max(1),
+            slot_table: SlotTable::from_report(report, Duration::ZERO),
             claim: ClaimState::Needed,
             plan: None,
             settle_until,
             is_superseded: false,
-            load_time: FIRST_LOAD_TIME,
-            wanted_since: None,
+            load_time: INITIAL_LOAD_TIME,
+            load_needed_since: None,
             backoffs: BTreeMap::new(),
             loads_done: 0,
             last_fence: report.highest_fence,
             seen_fence: report.highest_fence,
-            term: (report.highest_fence.term + 1).max(least_term),
+            term: (report.highest_fence.term + 1).max(min_term),
         }
     }
 
-    /// Takes the engine over again after it restarted: what it forgot of the fences, this agent
-    /// still knows.
+    /// Takes the engine over again after its restart. The engine may have lost its fences, so the
+    /// new term is derived from this agent's own.
     ///
     /// ```
     /// use std::time::Duration;
@@ -142,14 +145,14 @@
     ///
     /// let report = EngineReport::default();
     /// let engine = EngineState::take_over(&report, 5, Duration::ZERO);
-    /// assert!(engine.restarted(&report, Duration::ZERO).term() > engine.term());
+    /// assert!(engine.after_restart(&report, Duration::ZERO).term() > engine.term());
     /// ```
-    pub fn restarted(&self, report: &EngineReport, settle_until: MonoTime) -> Self {
+    pub fn after_restart(&self, report: &EngineReport, settle_until: MonoTime) -> Self {
         let next = Self::take_over(report, self.term + 1, settle_until);
         Self { load_time: self.load_time, loads_done: self.loads_done, ..next }
     }
 
-    /// Term of this agent at this engine.
+    /// Returns this agent's term at the engine.
     ///
     /// ```
     /// use std::time::Duration;
@@ -162,7 +165,7 @@
         self.term
     }
 
-    /// Makes the next order.
+    /// Creates an order with the next fence.
     ///
     /// ```
     /// use std::time::Duration;
@@ -181,7 +184,7 @@
         EngineOrder { fence: self.last_fence, kind }
     }
 
-    /// Tells whether a report shows the effect of all orders so far.
+    /// Returns whether a report reflects the effect of all orders sent so far.
     ///
     /// ```
     /// use std::time::Duration;
@@ -190,15 +193,16 @@
     ///
     /// let report = EngineReport::default();
     /// let engine = EngineState::take_over(&report, 0, Duration::ZERO);
-    /// assert!(engine.shows_all_orders(&report, true));
+    /// assert!(engine.reflects_all_orders(&report, true));
     /// ```
-    pub fn shows_all_orders(&self, report: &EngineReport, checks_fence: bool) -> bool {
-        let is_caught_up = !checks_fence || report.highest_fence >= self.last_fence;
-        self.plan.as_ref().is_none_or(|plan| plan.stage == PlanStage::Asking) && is_caught_up
+    pub fn reflects_all_orders(&self, report: &EngineReport, checks_fence: bool) -> bool {
+        let has_seen_fence = !checks_fence || report.highest_fence >= self.last_fence;
+        self.plan.as_ref().is_none_or(|plan| plan.stage == PlanStage::PermitRequested)
+            && has_seen_fence
     }
 
-    /// Notes a fence that the engine has seen. Returns the bundle version in it when another
-    /// agent's order is behind it.
+    /// Records a fence that the engine has seen, and marks this agent as superseded if the fence
+    /// carries a higher term than its own.
     ///
     /// ```
     /// use std::time::Duration;
@@ -207,17 +211,17 @@
     /// use quillcove_core::fence::OrderFence;
     ///
     /// let mut engine = EngineState::take_over(&EngineReport::default(), 0, Duration::ZERO);
-    /// engine.note_fence(OrderFence { bundle: 1, term: 9, sequence: 1 });
+    /// engine.record_fence(OrderFence { bundle: 1, term: 9, sequence: 1 });
     /// assert!(engine.is_superseded);
     /// ```
-    pub fn note_fence(&mut self, fence: OrderFence) {
+    pub fn record_fence(&mut self, fence: OrderFence) {
         self.seen_fence = self.seen_fence.max(fence);
         if fence.term > self.term {
             self.is_superseded = true;
         }
     }
 
-    /// Tells whether an order to load the adapter, or to make a slot free for it, is out.
+    /// Returns whether an order to load the adapter, or to free a slot for it, has been sent.
     ///
     /// ```
     /// use std::time::Duration;
@@ -230,10 +234,10 @@
     /// ```
     pub fn is_loading(&self, adapter: &AdapterRef) -> bool {
         let planned = self.plan.as_ref().filter(|plan| plan.adapter == *adapter);
-        planned.is_some_and(|plan| plan.stage != PlanStage::Asking)
+        planned.is_some_and(|plan| plan.stage != PlanStage::PermitRequested)
     }
 
-    /// Notes a finished load.
+    /// Records a completed load and how long it took.
     ///
     /// ```
     /// use std::time::Duration;
@@ -242,18 +246,18 @@
     /// use quillcove_core::agent::event::EngineReport;
     ///
     /// let mut engine = EngineState::take_over(&EngineReport::default(), 0, Duration::ZERO);
-    /// engine.note_load(&AdapterRef::new("shuttle", 1), Duration::from_secs(2));
+    /// engine.record_load(&AdapterRef::new("shuttle", 1), Duration::from_secs(2));
     /// assert_eq!(engine.load_time, Duration::from_millis(1200));
     /// ```
-    pub fn note_load(&mut self, adapter: &AdapterRef, took: Duration) {
+    pub fn record_load(&mut self, adapter: &AdapterRef, took: Duration) {
         self.loads_done += 1;
         self.backoffs.remove(adapter);
         let old = self.load_time.as_secs_f64();
-        let new = old + (took.as_secs_f64() - old) * LOAD_TIME_GAIN;
+        let new = old + (took.as_secs_f64() - old) * LOAD_TIME_SMOOTHING;
         self.load_time = Duration::from_secs_f64(new);
     }
 
-    /// Notes a failed load and returns the pause before the next try.
+    /// Records a failed load and returns the backoff before the next load.
     ///
     /// ```
     /// use std::time::Duration;
@@ -263,17 +267,17 @@
     ///
     /// let mut engine = EngineState::take_over(&EngineReport::default(), 0, Duration::ZERO);
     /// let adapter = AdapterRef::new("shuttle", 1);
-    /// let first = engine.note_failed_load(&adapter, Duration::ZERO);
-    /// assert_eq!(engine.note_failed_load(&adapter, Duration::ZERO), first * 2);
+    /// let first = engine.record_failed_load(&adapter, Duration::ZERO);
+    /// assert_eq!(engine.record_failed_load(&adapter, Duration::ZERO), first * 2);
     /// ```
-    pub fn note_failed_load(&mut self, adapter: &AdapterRef, now: MonoTime) -> Duration {
+    pub fn record_failed_load(&mut self, adapter: &AdapterRef, now: MonoTime) -> Duration {
         let before = self.backoffs.get(adapter).map(|backoff| backoff.pause);
-        let pause = before.map_or(FIRST_BACKOFF, |pause| (pause * 2).min(LAST_BACKOFF));
+        let pause = before.map_or(INITIAL_BACKOFF, |pause| (pause * 2).min(MAX_BACKOFF));
         self.backoffs.insert(adapter.clone(), LoadBackoff { until: now + pause, pause });
         pause
     }
 
-    /// Tells whether a load of the adapter has to wait after failures.
+    /// Returns whether the adapter is in backoff after failed loads.
     ///
     /// ```
     /// use std::time::Duration;
--- a/quillcove_core/src/agent/limit.rs
+++ b/quillcove_core/src/agent/limit.rs
@@ -1,6 +1,6 @@
-//! The limit that the upstream names, and what it means for attempts that wait.
+//! The rate limit that the upstream announces, and its effect on queued attempts.
 //!
-//! The agent is the only one that gives its upstream work, so that the whole limit is its own.
+//! The agent is the only sender of work to its upstream, so it uses the whole limit itself.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
 use crate::standing::limit::RateLimit;
 use crate::verdict::{RefusalReason, WorkRefusal};
 
-/// Longest wait of an attempt for its turn. Others may take it sooner, and its entry asks them when it is refused.
-const MOST_TURN_WAIT: Duration = Duration::from_millis(100);
+/// Maximum wait of an attempt for its send slot. Another upstream may be able to take it sooner;
+/// once it is rejected here, its entry tries the others.
+const MAX_SEND_SLOT_WAIT: Duration = Duration::from_millis(100);
 
 impl AgentMachine {
-    /// The limit that the upstream names.
+    /// Returns the rate limit that the upstream announces.
     ///
     /// ```
     /// use std::time::Duration;
@@ -28,46 +29,47 @@
     /// assert!(machine.upstream_limit().is_none());
     /// ```
     pub fn upstream_limit(&self) -> Option<RateLimit> {
-        self.standing.limit()
+        self.upstream_status.limit()
     }
 
-    /// Takes that the upstream has answered an attempt well and named no limit with it.
-    pub(super) fn note_no_limit(&mut self, now: MonoTime, attempt: AttemptId) {
+    /// Records that the upstream responded successfully to an attempt and announced no rate limit
+    /// with the response.
+    pub(super) fn record_no_limit(&mut self, now: MonoTime, attempt: AttemptId) {
         if let Some(running) = self.running.get(&attempt) {
-            self.standing.note_no_limit(running.started, Duration::ZERO, now);
+            self.upstream_status.note_no_limit(running.started, Duration::ZERO, now);
         }
     }
 
-    /// Time until an attempt has its turn under the limit that starts after so many others.
-    pub(super) fn limit_wait(&self, now: MonoTime, ahead: usize) -> Duration {
-        let Some(limit) = self.standing.limit() else {
+    /// Returns the time until the send slot of an attempt that starts after `ahead` others.
+    pub(super) fn send_slot_wait(&self, now: MonoTime, ahead: usize) -> Duration {
+        let Some(limit) = self.upstream_status.limit() else {
             return Duration::ZERO;
         };
-        let first = self.standing.takes_work_from(now).saturating_sub(now);
-        first + limit.gap() * ahead as u32
+        let first_wait = self.upstream_status.takes_work_from(now).saturating_sub(now);
+        first_wait + limit.gap() * ahead as u32
     }
 
-    /// Refuses an attempt that would have its turn too late, behind so many others.
-    pub(super) fn check_limit(&self, now: MonoTime, ahead: usize) -> Result<(), WorkRefusal> {
-        let wait = self.limit_wait(now, ahead);
-        match wait <= MOST_TURN_WAIT {
+    /// Rejects an attempt whose send slot, after `ahead` others, is too far away.
+    pub(super) fn check_rate_limit(&self, now: MonoTime, ahead: usize) -> Result<(), WorkRefusal> {
+        let wait = self.send_slot_wait(now, ahead);
+        match wait <= MAX_SEND_SLOT_WAIT {
             true => Ok(()),
             false => Err(WorkRefusal::not_run(RefusalReason::Overloaded, Some(wait))),
         }
     }
 
-    /// Refuses what waits for a turn that comes too late.
-    pub(super) fn refuse_beyond_limit(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
-        if self.standing.limit().is_none() || self.room.is_empty() {
+    /// Rejects queued attempts whose send slot is too far away.
+    pub(super) fn refuse_over_rate_limit(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+        if self.upstream_status.limit().is_none() || self.wait_queue.is_empty() {
             return;
         }
-        let in_turn = self.room.by_turn().into_iter().enumerate();
+        let queued = self.wait_queue.in_start_order().into_iter().enumerate();
         let refusal = |(ahead, attempt): (usize, &WaitingAttempt)| {
-            Some((attempt.order.attempt, self.check_limit(now, ahead).err()?))
+            Some((attempt.order.attempt, self.check_rate_limit(now, ahead).err()?))
         };
-        let refused: Vec<(AttemptId, WorkRefusal)> = in_turn.filter_map(refusal).collect();
+        let refused: Vec<(AttemptId, WorkRefusal)> = queued.filter_map(refusal).collect();
         for (attempt, refusal) in refused {
-            if let Some(attempt) = self.room.take(attempt) {
+            if let Some(attempt) = self.wait_queue.remove(attempt) {
                 self.refuse_waiting(now, attempt, refusal, out);
             }
         }
--- a/quillcove_core/src/agent/loads.rs
+++ b/quillcove_core/src/agent/loads.rs
@@ -1,4 +1,4 @@
-//! Which adapter is loaded next, and what is unloaded for it.
+//! Selection of the adapter to load next and of the adapter to evict for it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use super::AgentMachine;
 use super::engine::{LoadPlan, PlanStage};
 use super::event::{AgentAction, EvictRule, LoadRule, OrderKind, PacingRule, RunOrder, WorkTarget};
-use super::slots::{EvictRank, priority_weight};
+use super::slots::{EvictionRanking, priority_weight};
 use super::waiting::WaitingAttempt;
 use crate::adapter::AdapterRef;
 use crate::bundle::FleetBundle;
@@ -15,57 +15,58 @@
 use crate::permit::PermitAnswer;
 use crate::verdict::{RefusalReason, WorkRefusal};
 
-/// A permit's answer that took longer than this is given back unused.
-const ANSWER_LIFETIME: Duration = Duration::from_secs(2);
+/// Time after which a granted permit is returned unused, because the answer is outdated.
+const PERMIT_ANSWER_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Time over which the demand for a loaded adapter is set against the requests that wait.
-const KEEP_HORIZON_SECS: f64 = 5.0;
+/// Time over which the expected demand for a loaded adapter is weighed against the waiting
+/// requests.
+const DEMAND_HORIZON_SECS: f64 = 5.0;
 
-/// Batch-class work counts as normal when its deadline is nearer than this many load times.
-const LATE_LOADS: u32 = 8;
+/// Batch-class work counts as normal when its deadline is less than this many load times away.
+const BATCH_PROMOTION_LOAD_TIMES: u32 = 8;
 
 impl AgentMachine {
-    /// Expected wait until an order could start: none for a loaded adapter, else the loads that
-    /// go before it and its own.
+    /// Returns the expected wait until an attempt can start: zero for a loaded adapter, otherwise
+    /// the total time of the loads ahead of its own load and of that load.
     pub(super) fn expected_wait(&self, now: MonoTime, order: &RunOrder) -> Duration {
         let WorkTarget::Adapter(adapter) = &order.target else { return Duration::ZERO };
         let Some(engine) = &self.engine else { return Duration::ZERO };
-        if engine.table.get(adapter).is_some() || engine.is_loading(adapter) {
+        if engine.slot_table.get(adapter).is_some() || engine.is_loading(adapter) {
             return Duration::ZERO;
         }
         let own = order.class.weight() * self.priority_weight(adapter);
         let ahead = self
-            .line_of_loads(now)
+            .pending_loads(now)
             .into_iter()
             .filter(|(other, value)| other != adapter && *value >= own);
         engine.load_time * (ahead.count() as u32 + 1)
     }
 
-    /// Adapters that attempts wait for and that are not loaded, by falling value.
-    fn line_of_loads(&self, now: MonoTime) -> Vec<(AdapterRef, f64)> {
+    /// Returns the adapters that attempts wait for and that are not loaded, by descending value.
+    fn pending_loads(&self, now: MonoTime) -> Vec<(AdapterRef, f64)> {
         let Some(engine) = &self.engine else { return Vec::new() };
-        let wanted = self.room.adapters().filter(|(adapter, _)| {
-            engine.table.get(adapter).is_none() && !engine.is_loading(adapter)
+        let needed = self.wait_queue.adapter_queues().filter(|(adapter, _)| {
+            engine.slot_table.get(adapter).is_none() && !engine.is_loading(adapter)
         });
-        let valued =
-            wanted.map(|(adapter, queue)| (adapter.clone(), self.load_value(now, adapter, queue)));
-        let mut line: Vec<(AdapterRef, f64)> = valued.collect();
-        line.sort_by(|(_, a), (_, b)| b.total_cmp(a));
-        line
+        let candidates =
+            needed.map(|(adapter, queue)| (adapter.clone(), self.load_value(now, adapter, queue)));
+        let mut pending: Vec<(AdapterRef, f64)> = candidates.collect();
+        pending.sort_by(|(_, a), (_, b)| b.total_cmp(a));
+        pending
     }
 
-    /// Refuses attempts whose load can not come in time any more, at once, with the time that the
-    /// load is expected to take.
-    pub(super) fn refuse_hopeless(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+    /// Rejects attempts whose adapter can no longer be loaded before their deadline, at once and
+    /// with the expected load time.
+    pub(super) fn refuse_infeasible(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let Some(load_time) = self.engine.as_ref().map(|engine| engine.load_time) else { return };
-        for (place, (adapter, _)) in self.line_of_loads(now).into_iter().enumerate() {
-            let wait = load_time * (place as u32 + 1);
+        for (position, (adapter, _)) in self.pending_loads(now).into_iter().enumerate() {
+            let wait = load_time * (position as u32 + 1);
             let target = WorkTarget::Adapter(adapter);
-            let is_hopeless = |attempt: &WaitingAttempt| {
+            let is_infeasible = |attempt: &WaitingAttempt| {
                 attempt.order.target == target && attempt.order.deadline < now + wait
             };
             let refusal = WorkRefusal::not_run(RefusalReason::DeadlineTooShort, Some(wait));
-            for attempt in self.room.take_where(is_hopeless) {
+            for attempt in self.wait_queue.remove_where(is_infeasible) {
                 self.refuse_waiting(now, attempt, refusal, out);
             }
         }
@@ -76,8 +77,8 @@
         priority_weight(priority)
     }
 
-    /// Value of loading an adapter for those who wait: each counts by class and by how long it
-    /// has waited already, in seconds.
+    /// Returns the value of loading an adapter for the waiting attempts: each counts by its class
+    /// and by how long it has waited, in seconds.
     fn load_value(
         &self,
         now: MonoTime,
@@ -86,17 +87,18 @@
     ) -> f64 {
         let load_time = self.engine.as_ref().map_or(Duration::ZERO, |engine| engine.load_time);
         let value_of = |attempt: &WaitingAttempt| {
-            let is_late = attempt.order.deadline < now + load_time * LATE_LOADS;
+            let is_deadline_near =
+                attempt.order.deadline < now + load_time * BATCH_PROMOTION_LOAD_TIMES;
             let class = match attempt.order.class {
-                WorkClass::Batch if is_late => WorkClass::Normal,
+                WorkClass::Batch if is_deadline_near => WorkClass::Normal,
                 class => class,
             };
-            class.weight() * (1.0 + now.saturating_sub(attempt.since).as_secs_f64())
+            class.weight() * (1.0 + now.saturating_sub(attempt.arrived_at).as_secs_f64())
         };
         queue.iter().map(value_of).sum::<f64>() * self.priority_weight(adapter)
     }
 
-    /// Moves the load in progress on, or begins the next one.
+    /// Advances the load in progress, or starts the next one.
     pub(super) fn advance_loads(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let Some(bundle) = self.bundle.clone() else {
             return;
@@ -107,64 +109,70 @@
         }
         match engine.plan.as_ref().map(|plan| plan.stage.clone()) {
             None => self.begin_load(now, &bundle, out),
-            Some(PlanStage::Asking | PlanStage::Ordered(_)) => {},
-            Some(PlanStage::Unsure(_, until)) if now < until => {},
-            Some(PlanStage::Unsure(kind, _)) => self.settle_unsure(&bundle, kind, out),
+            Some(PlanStage::PermitRequested | PlanStage::OrderPending(_)) => {},
+            Some(PlanStage::Unanswered(_, until)) if now < until => {},
+            Some(PlanStage::Unanswered(kind, _)) => {
+                self.resolve_unanswered_order(&bundle, kind, out)
+            },
         }
     }
 
     fn begin_load(&mut self, now: MonoTime, bundle: &FleetBundle, out: &mut Vec<AgentAction>) {
         let next = self.next_load(now);
-        self.note_wanted(now, next.is_some());
-        if self.is_stopping || now < self.ask_after {
+        self.record_load_need(now, next.is_some());
+        if self.is_stopping || now < self.next_permit_request_at {
             return;
         }
         let Some((adapter, value)) = next else { return };
-        if self.make_way(now, bundle, &adapter, value).is_none() {
+        if self.find_slot(now, bundle, &adapter, value).is_none() {
             return;
         }
         let Some(engine) = &mut self.engine else {
             return;
         };
         let is_paced = self.rules.pacing == PacingRule::Keeper;
-        engine.plan =
-            Some(LoadPlan { adapter, since: now, has_permit: false, stage: PlanStage::Asking });
+        engine.plan = Some(LoadPlan {
+            adapter,
+            started_at: now,
+            has_permit: false,
+            stage: PlanStage::PermitRequested,
+        });
         match is_paced {
             true => out.push(AgentAction::AskPermit(value)),
-            false => self.order_next(now, out),
+            false => self.send_next_order(now, out),
         }
     }
 
-    /// Notes since when a load is wanted, so that its whole wait is measured.
-    fn note_wanted(&mut self, now: MonoTime, is_wanted: bool) {
+    /// Records since when a load has been needed, so that its whole wait is measured.
+    fn record_load_need(&mut self, now: MonoTime, is_needed: bool) {
         let Some(engine) = &mut self.engine else { return };
-        match is_wanted {
-            true => engine.wanted_since = engine.wanted_since.or(Some(now)),
-            false => engine.wanted_since = None,
+        match is_needed {
+            true => engine.load_needed_since = engine.load_needed_since.or(Some(now)),
+            false => engine.load_needed_since = None,
         }
     }
 
-    /// The adapter that should be loaded next, with its value.
+    /// Returns the adapter to load next, with its value.
     fn next_load(&self, now: MonoTime) -> Option<(AdapterRef, f64)> {
         let engine = self.engine.as_ref()?;
-        let wanted = self.room.adapters().filter(|(adapter, _)| {
-            engine.table.get(adapter).is_none() && !engine.is_backing_off(adapter, now)
+        let needed = self.wait_queue.adapter_queues().filter(|(adapter, _)| {
+            engine.slot_table.get(adapter).is_none() && !engine.is_backing_off(adapter, now)
         });
-        let valued = wanted.map(|(adapter, queue)| {
+        let candidates = needed.map(|(adapter, queue)| {
             let value = self.load_value(now, adapter, queue);
             let rank = match self.rules.load {
                 LoadRule::Value => value,
-                LoadRule::Oldest => oldest_wait(now, queue).as_secs_f64(),
+                LoadRule::Oldest => longest_wait(now, queue).as_secs_f64(),
             };
             (adapter, value, rank)
         });
-        let best = valued.max_by(|(_, _, a), (_, _, b)| a.total_cmp(b))?;
+        let best = candidates.max_by(|(_, _, a), (_, _, b)| a.total_cmp(b))?;
         Some((best.0.clone(), best.1))
     }
 
-    /// How a slot becomes free for an adapter: `Some(None)` when one is free, `Some(victim)`
-    /// when one can be unloaded, `None` when the loaded ones are worth more or in use.
-    fn make_way(
+    /// Finds a slot for an adapter: `Some(None)` when one is free, `Some(victim)` when an adapter
+    /// can be evicted, `None` when all loaded adapters have a higher value or are in use.
+    fn find_slot(
         &self,
         now: MonoTime,
         bundle: &FleetBundle,
@@ -172,49 +180,51 @@
         value: f64,
     ) -> Option<Option<AdapterRef>> {
         let engine = self.engine.as_ref()?;
-        if engine.table.has_free() {
+        if engine.slot_table.has_free_slot() {
             return Some(None);
         }
         if now < engine.settle_until {
             return None;
         }
-        let rank = EvictRank {
+        let ranking = EvictionRanking {
             rule: self.rules.evict,
             demand: &self.demand,
             half_life: self.rules.half_life,
             bundle,
         };
-        let is_in_use = |other: &AdapterRef| self.room.wants(other) || self.pins(other) > 0;
-        let victim = rank.victim(&engine.table, is_in_use, now)?;
+        let is_in_use =
+            |other: &AdapterRef| self.wait_queue.has_waiting(other) || self.pin_count(other) > 0;
+        let victim = ranking.victim(&engine.slot_table, is_in_use, now)?;
         if self.rules.evict == EvictRule::Lru {
             return Some(Some(victim));
         }
-        let keep = rank.value(&victim, now) * KEEP_HORIZON_SECS * self.rules.evict_margin;
-        let expected = rank.value(adapter, now) * KEEP_HORIZON_SECS;
-        let gain = value / WorkClass::Normal.weight() + expected;
-        (gain >= keep).then_some(Some(victim))
+        let victim_value =
+            ranking.value(&victim, now) * DEMAND_HORIZON_SECS * self.rules.evict_margin;
+        let expected = ranking.value(adapter, now) * DEMAND_HORIZON_SECS;
+        let load_gain = value / WorkClass::Normal.weight() + expected;
+        (load_gain >= victim_value).then_some(Some(victim))
     }
 
-    /// Takes the keeper's answer.
-    pub(super) fn take_permit(
+    /// Handles the answer of the load rate coordinator.
+    pub(super) fn apply_permit_answer(
         &mut self,
         now: MonoTime,
         answer: PermitAnswer,
         out: &mut Vec<AgentAction>,
     ) {
         let engine = self.engine.as_mut();
-        let asking = engine.filter(|engine| {
-            engine.plan.as_ref().is_some_and(|plan| plan.stage == PlanStage::Asking)
+        let requesting = engine.filter(|engine| {
+            engine.plan.as_ref().is_some_and(|plan| plan.stage == PlanStage::PermitRequested)
         });
-        let Some(engine) = asking else {
+        let Some(engine) = requesting else {
             if answer == PermitAnswer::Granted {
                 out.push(AgentAction::ReturnPermit);
             }
             return;
         };
-        let asked = engine.plan.as_ref().map_or(now, |plan| plan.since);
+        let requested_at = engine.plan.as_ref().map_or(now, |plan| plan.started_at);
         match answer {
-            PermitAnswer::Granted if now.saturating_sub(asked) > ANSWER_LIFETIME => {
+            PermitAnswer::Granted if now.saturating_sub(requested_at) > PERMIT_ANSWER_LIFETIME => {
                 engine.plan = None;
                 out.push(AgentAction::ReturnPermit);
             },
@@ -222,34 +232,35 @@
                 if let Some(plan) = &mut engine.plan {
                     plan.has_permit = true;
                 }
-                self.order_next(now, out);
+                self.send_next_order(now, out);
             },
             PermitAnswer::Wait(pause) => {
                 engine.plan = None;
-                self.ask_after = now + pause;
+                self.next_permit_request_at = now + pause;
             },
         }
     }
 
-    /// Sends the next order of the plan, or drops the plan when nothing waits for it any more.
-    pub(super) fn order_next(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
+    /// Sends the next order of the plan, or drops the plan when no attempt waits for its adapter
+    /// any more.
+    pub(super) fn send_next_order(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let Some(bundle) = self.bundle.clone() else {
             return self.drop_plan(out);
         };
         let planned = self.engine.as_ref().and_then(|engine| engine.plan.clone());
         let Some(plan) = planned else { return };
-        let is_possible = self.is_confirmed && bundle.serves(&plan.adapter);
+        let is_possible = self.is_host_state_confirmed && bundle.serves(&plan.adapter);
         let value = match self.next_load(now) {
             Some((adapter, value)) if adapter == plan.adapter => value,
-            _ if self.room.wants(&plan.adapter) => f64::INFINITY,
+            _ if self.wait_queue.has_waiting(&plan.adapter) => f64::INFINITY,
             _ => return self.drop_plan(out),
         };
-        match self.make_way(now, &bundle, &plan.adapter, value) {
+        match self.find_slot(now, &bundle, &plan.adapter, value) {
             Some(None) if is_possible => {
-                self.send(now, &bundle, OrderKind::Load(plan.adapter), out);
+                self.send_order(now, &bundle, OrderKind::Load(plan.adapter), out);
             },
             Some(Some(victim)) if is_possible => {
-                self.send(now, &bundle, OrderKind::Unload(victim), out);
+                self.send_order(now, &bundle, OrderKind::Unload(victim), out);
             },
             _ => self.drop_plan(out),
         }
@@ -267,7 +278,7 @@
     }
 }
 
-fn oldest_wait(now: MonoTime, queue: &VecDeque<WaitingAttempt>) -> Duration {
-    let since = queue.iter().map(|attempt| attempt.since).min();
+fn longest_wait(now: MonoTime, queue: &VecDeque<WaitingAttempt>) -> Duration {
+    let since = queue.iter().map(|attempt| attempt.arrived_at).min();
     now.saturating_sub(since.unwrap_or(now))
 }
--- a/quillcove_core/src/agent/marks.rs
+++ b/quillcove_core/src/agent/marks.rs
@@ -1,33 +1,33 @@
-//! Marks that keep a late copy of an attempt from running.
+//! State of recent attempts, kept to reject copies that arrive late.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use crate::ids::{AttemptId, MonoTime};
 
-/// Most marks kept; beyond them new attempts are refused rather than old marks forgotten.
-pub const MARK_LIMIT: usize = 200_000;
+/// Maximum number of marks. Beyond it, new attempts are rejected rather than old marks dropped.
+pub const MAX_MARKS: usize = 200_000;
 
-/// What is known of an attempt that is over or underway.
+/// State of an attempt that is in progress or has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptMark {
-    /// Waits in the agent.
+    /// Queued in the agent.
     Waiting,
-    /// Was handed to the upstream.
+    /// Sent to the upstream.
     Started,
-    /// Was refused or withdrawn before it started.
+    /// Rejected or withdrawn before it started.
     Refused,
 }
 
-/// Marks of attempts with their expiry.
+/// Marks of attempts, with the expiry of those that have ended.
 #[derive(Clone, Debug, Default)]
 pub struct MarkTable {
     marks: BTreeMap<AttemptId, AttemptMark>,
-    expiries: VecDeque<(MonoTime, AttemptId)>,
+    expiry_queue: VecDeque<(MonoTime, AttemptId)>,
 }
 
 impl MarkTable {
-    /// The mark of an attempt.
+    /// Returns the mark of an attempt.
     ///
     /// ```
     /// use quillcove_core::agent::marks::MarkTable;
@@ -38,7 +38,7 @@
         self.marks.get(&attempt).copied()
     }
 
-    /// Tells whether no further attempt can be marked.
+    /// Returns whether no further attempt can be marked.
     ///
     /// ```
     /// use quillcove_core::agent::marks::MarkTable;
@@ -46,10 +46,10 @@
     /// assert!(!MarkTable::default().is_full());
     /// ```
     pub fn is_full(&self) -> bool {
-        self.marks.len() >= MARK_LIMIT
+        self.marks.len() >= MAX_MARKS
     }
 
-    /// Sets a mark that stays until it is replaced.
+    /// Sets a mark that does not expire until it is replaced.
     ///
     /// ```
     /// use quillcove_core::agent::marks::{AttemptMark, MarkTable};
@@ -62,18 +62,18 @@
         self.marks.insert(attempt, mark);
     }
 
-    /// Sets a last mark, which goes after its lifetime.
+    /// Sets the final mark of an attempt, which expires after `lifetime`.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::agent::marks::{AttemptMark, MarkTable};
     ///
     /// let mut marks = MarkTable::default();
-    /// marks.close(1, AttemptMark::Refused, Duration::ZERO, Duration::from_secs(1));
+    /// marks.set_expiring(1, AttemptMark::Refused, Duration::ZERO, Duration::from_secs(1));
     /// marks.expire(Duration::from_secs(2));
     /// assert_eq!(marks.get(1), None);
     /// ```
-    pub fn close(
+    pub fn set_expiring(
         &mut self,
         attempt: AttemptId,
         mark: AttemptMark,
@@ -81,10 +81,10 @@
         lifetime: Duration,
     ) {
         self.marks.insert(attempt, mark);
-        self.expiries.push_back((now + lifetime, attempt));
+        self.expiry_queue.push_back((now + lifetime, attempt));
     }
 
-    /// Drops marks whose lifetime is over.
+    /// Removes expired marks.
     ///
     /// ```
     /// use std::time::Duration;
@@ -93,16 +93,16 @@
     /// MarkTable::default().expire(Duration::ZERO);
     /// ```
     pub fn expire(&mut self, now: MonoTime) {
-        while let Some((expires, attempt)) = self.expiries.front().copied() {
+        while let Some((expires, attempt)) = self.expiry_queue.front().copied() {
             if expires > now {
                 return;
             }
-            self.expiries.pop_front();
+            self.expiry_queue.pop_front();
             self.marks.remove(&attempt);
         }
     }
 
-    /// Number of marks.
+    /// Returns the number of marks.
     ///
     /// ```
     /// use quillcove_core::agent::marks::MarkTable;
@@ -113,7 +113,7 @@
         self.marks.len()
     }
 
-    /// Tells whether there is no mark.
+    /// Returns whether there are no marks.
     ///
     /// ```
     /// use quillcove_core::agent::marks::MarkTable;
--- a/quillcove_core/src/agent/orders.rs
+++ b/quillcove_core/src/agent/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine: the claim, then one load or unload at a time.
+//! Orders to the engine: first a claim of the engine, then one load or unload at a time.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::ids::MonoTime;
 use crate::verdict::{RefusalReason, WorkRefusal};
 
-/// Pause after which an engine that checks fences gets an unanswered order again.
-const RESEND_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before an unanswered order is resent to an engine that checks fences.
+const RESEND_DELAY: Duration = Duration::from_millis(200);
 
 impl AgentMachine {
-    /// Makes sure that this agent alone gives the engine orders, before anything runs or loads
-    /// there. `true` when it is so.
-    pub(super) fn hold_claim(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) -> bool {
+    /// Ensures that this agent is the only one whose orders the engine accepts, before anything
+    /// runs or loads there. Returns whether that is the case.
+    pub(super) fn ensure_claim(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) -> bool {
         if self.rules.kind == UpstreamKind::Service {
             return true;
         }
@@ -25,7 +25,7 @@
         let Some(engine) = &mut self.engine else { return false };
         match engine.claim {
             ClaimState::Held => return !engine.is_superseded,
-            ClaimState::Ordered(_) => return false,
+            ClaimState::OrderPending(_) => return false,
             ClaimState::Waiting(until) if now < until => return false,
             ClaimState::Waiting(_) if !self.rules.checks_fence => {
                 engine.claim = ClaimState::Held;
@@ -35,14 +35,14 @@
         }
         if !engine.is_superseded && self.is_upstream_up {
             let order = engine.next_order(bundle, OrderKind::Claim);
-            engine.claim = ClaimState::Ordered(order.fence);
+            engine.claim = ClaimState::OrderPending(order.fence);
             out.push(AgentAction::Send(order));
         }
         false
     }
 
-    /// Takes the end of a claiming order.
-    fn end_claim(
+    /// Handles the outcome of a claim order.
+    fn apply_claim_outcome(
         &mut self,
         now: MonoTime,
         fence: OrderFence,
@@ -53,20 +53,20 @@
         engine.claim = match end {
             OrderEnd::Done => ClaimState::Held,
             OrderEnd::Stale(_) | OrderEnd::Failed | OrderEnd::Unknown => {
-                ClaimState::Waiting(now + RESEND_PAUSE)
+                ClaimState::Waiting(now + RESEND_DELAY)
             },
         };
         match end {
-            OrderEnd::Done => engine.note_fence(fence),
+            OrderEnd::Done => engine.record_fence(fence),
             OrderEnd::Stale(highest) => {
-                engine.note_fence(highest);
-                self.witness(highest.bundle, out);
+                engine.record_fence(highest);
+                self.drop_outdated_bundle(highest.bundle, out);
             },
             OrderEnd::Failed | OrderEnd::Unknown => {},
         }
     }
 
-    pub(super) fn send(
+    pub(super) fn send_order(
         &mut self,
         now: MonoTime,
         bundle: &FleetBundle,
@@ -77,19 +77,19 @@
             return;
         };
         match &kind {
-            OrderKind::Load(adapter) => engine.table.add(adapter, SlotState::Loading, now),
+            OrderKind::Load(adapter) => engine.slot_table.add(adapter, SlotState::Loading, now),
             OrderKind::Unload(adapter) => {
-                if let Some(slot) = engine.table.get_mut(adapter) {
+                if let Some(slot) = engine.slot_table.get_mut(adapter) {
                     slot.state = SlotState::Unloading;
                 }
             },
             OrderKind::Claim => {},
         }
-        issue(engine, bundle, kind, out);
+        issue_order(engine, bundle, kind, out);
     }
 
-    /// Takes the end of the order that is out; ends of other orders are late and say nothing.
-    pub(super) fn end_order(
+    /// Handles the outcome of the pending order. Outcomes of other orders are late and ignored.
+    pub(super) fn apply_order_outcome(
         &mut self,
         now: MonoTime,
         fence: OrderFence,
@@ -99,77 +99,83 @@
         let Some(engine) = &mut self.engine else {
             return;
         };
-        if engine.claim == ClaimState::Ordered(fence) {
-            return self.end_claim(now, fence, end, out);
+        if engine.claim == ClaimState::OrderPending(fence) {
+            return self.apply_claim_outcome(now, fence, end, out);
         }
         let Some(order) = current_order(engine, fence) else {
             return;
         };
         match end {
-            OrderEnd::Done => self.order_done(now, &order, out),
-            OrderEnd::Failed => self.order_failed(now, &order, out),
+            OrderEnd::Done => self.apply_done_order(now, &order, out),
+            OrderEnd::Failed => self.apply_failed_order(now, &order, out),
             OrderEnd::Stale(highest) => {
-                engine.note_fence(highest);
-                undo(engine, &order.kind);
+                engine.record_fence(highest);
+                revert_slot(engine, &order.kind);
                 self.drop_plan(out);
-                self.witness(highest.bundle, out);
+                self.drop_outdated_bundle(highest.bundle, out);
             },
             OrderEnd::Unknown => {
                 let pause = match self.rules.checks_fence {
-                    true => RESEND_PAUSE,
+                    true => RESEND_DELAY,
                     false => self.rules.order_lifetime,
                 };
                 if let Some(plan) = &mut engine.plan {
-                    plan.stage = PlanStage::Unsure(order.kind, now + pause);
+                    plan.stage = PlanStage::Unanswered(order.kind, now + pause);
                 }
             },
         }
     }
 
-    fn order_done(&mut self, now: MonoTime, order: &EngineOrder, out: &mut Vec<AgentAction>) {
+    fn apply_done_order(&mut self, now: MonoTime, order: &EngineOrder, out: &mut Vec<AgentAction>) {
         let Some(engine) = &mut self.engine else {
             return;
         };
-        engine.note_fence(order.fence);
+        engine.record_fence(order.fence);
         match &order.kind {
             OrderKind::Unload(adapter) => {
-                engine.table.remove(adapter);
-                self.order_next(now, out);
+                engine.slot_table.remove(adapter);
+                self.send_next_order(now, out);
             },
             OrderKind::Claim => {},
             OrderKind::Load(adapter) => {
-                if let Some(slot) = engine.table.get_mut(adapter) {
+                if let Some(slot) = engine.slot_table.get_mut(adapter) {
                     slot.state = SlotState::Ready;
-                    slot.used = now;
+                    slot.last_used = now;
                 }
-                let since = engine.wanted_since.replace(now).unwrap_or(now);
-                engine.note_load(adapter, now.saturating_sub(since));
+                let since = engine.load_needed_since.replace(now).unwrap_or(now);
+                engine.record_load(adapter, now.saturating_sub(since));
                 self.drop_plan(out);
             },
         }
     }
 
-    /// A failed load frees its slot and sends its waiting attempts to other engines.
-    fn order_failed(&mut self, now: MonoTime, order: &EngineOrder, out: &mut Vec<AgentAction>) {
+    /// Handles a failed order. A failed load frees its slot and rejects the attempts that wait for
+    /// the adapter, so that they are sent to other engines.
+    fn apply_failed_order(
+        &mut self,
+        now: MonoTime,
+        order: &EngineOrder,
+        out: &mut Vec<AgentAction>,
+    ) {
         let Some(engine) = &mut self.engine else {
             return;
         };
-        undo(engine, &order.kind);
+        revert_slot(engine, &order.kind);
         if let OrderKind::Load(adapter) = &order.kind {
-            let pause = engine.note_failed_load(adapter, now);
+            let pause = engine.record_failed_load(adapter, now);
             let refusal = WorkRefusal::not_run(RefusalReason::LoadFailed, Some(pause));
             let target = WorkTarget::Adapter(adapter.clone());
-            for attempt in self.room.take_where(|attempt| attempt.order.target == target) {
+            for attempt in self.wait_queue.remove_where(|attempt| attempt.order.target == target) {
                 self.refuse_waiting(now, attempt, refusal, out);
             }
         }
         self.drop_plan(out);
     }
 
-    /// An order without an answer. An engine that checks fences gets it again under a higher
-    /// fence, which also shuts out the first copy. With another engine the order's lifetime has
-    /// passed by now; the slot goes back to what the next report shows.
-    pub(super) fn settle_unsure(
+    /// Resolves an order without a response. An engine that checks fences gets the order again
+    /// under a higher fence, which also makes it reject the first copy. With another engine, the
+    /// order's lifetime has passed by now, and the slot is set by the next report.
+    pub(super) fn resolve_unanswered_order(
         &mut self,
         bundle: &FleetBundle,
         kind: OrderKind,
@@ -180,16 +186,16 @@
         };
         if !self.rules.checks_fence {
             if let OrderKind::Load(adapter) | OrderKind::Unload(adapter) = &kind {
-                engine.table.remove(adapter);
+                engine.slot_table.remove(adapter);
             }
             return self.drop_plan(out);
         }
-        issue(engine, bundle, kind, out);
+        issue_order(engine, bundle, kind, out);
     }
 }
 
-/// Gives an order of the plan the next fence and sends it.
-fn issue(
+/// Assigns the next fence to an order of the plan and sends it.
+fn issue_order(
     engine: &mut EngineState,
     bundle: &FleetBundle,
     kind: OrderKind,
@@ -197,24 +203,24 @@
 ) {
     let order = engine.next_order(bundle.version, kind);
     if let Some(plan) = &mut engine.plan {
-        plan.stage = PlanStage::Ordered(order.clone());
+        plan.stage = PlanStage::OrderPending(order.clone());
     }
     out.push(AgentAction::Send(order));
 }
 
 fn current_order(engine: &EngineState, fence: OrderFence) -> Option<EngineOrder> {
     match &engine.plan.as_ref()?.stage {
-        PlanStage::Ordered(order) if order.fence == fence => Some(order.clone()),
+        PlanStage::OrderPending(order) if order.fence == fence => Some(order.clone()),
         _ => None,
     }
 }
 
-/// Puts a slot back after an order that was not done.
-fn undo(engine: &mut EngineState, kind: &OrderKind) {
+/// Reverts the state of a slot after an order that was not executed.
+fn revert_slot(engine: &mut EngineState, kind: &OrderKind) {
     match kind {
-        OrderKind::Load(adapter) => engine.table.remove(adapter),
+        OrderKind::Load(adapter) => engine.slot_table.remove(adapter),
         OrderKind::Unload(adapter) => {
-            if let Some(slot) = engine.table.get_mut(adapter) {
+            if let Some(slot) = engine.slot_table.get_mut(adapter) {
                 slot.state = SlotState::Ready;
             }
         },
--- a/quillcove_core/src/agent/running.rs
+++ b/quillcove_core/src/agent/running.rs
@@ -1,4 +1,4 @@
-//! Attempts at the upstream: their start, their end, and the adapters they pin.
+//! Attempts in flight at the upstream: their start, their end, and the adapters that they pin.
 
 use super::event::{AgentAction, BatchRule, RunEnd, UpstreamKind, WorkTarget, once_state};
 use super::marks::AttemptMark;
@@ -10,13 +10,13 @@
 
 impl AgentMachine {
     pub(super) fn start_ready(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
-        // After a rest, a few at a time.
-        while self.running.len() < self.capacity() && self.may_start(now) {
+        // After a requested pause, work resumes in growing steps, so only a few attempts may start.
+        while self.running.len() < self.capacity() && self.can_send_attempt(now) {
             let is_ready = |target: &WorkTarget| self.is_target_ready(target);
             let may_start_batch = self.may_start_batch(now);
             let is_admitted = |class| class != WorkClass::Batch || may_start_batch;
-            let Some(attempt) = self.room.first(is_ready, is_admitted) else { return };
-            let Some(attempt) = self.room.take(attempt) else { return };
+            let Some(attempt) = self.wait_queue.first_ready(is_ready, is_admitted) else { return };
+            let Some(attempt) = self.wait_queue.remove(attempt) else { return };
             self.start(now, attempt, out);
         }
     }
@@ -24,16 +24,17 @@
     fn is_target_ready(&self, target: &WorkTarget) -> bool {
         match (target, &self.engine) {
             (WorkTarget::Service, _) => true,
-            (WorkTarget::Adapter(adapter), Some(engine)) => engine.table.is_ready(adapter),
+            (WorkTarget::Adapter(adapter), Some(engine)) => engine.slot_table.is_ready(adapter),
             (WorkTarget::Adapter(_), None) => false,
         }
     }
 
-    /// Batch-class work fills places beside other work. Alone it starts when enough of it is
-    /// gathered to fill the batch, or when half of somebody's time is over.
+    /// Returns whether batch-class work may start. It uses capacity beside other work. On an idle
+    /// engine it starts once enough has accumulated to fill the batch, or when half of the time
+    /// until an attempt's deadline has passed.
     fn may_start_batch(&self, now: MonoTime) -> bool {
-        let places = (self.capacity() as f64 * self.rules.batch_share).ceil() as usize;
-        if self.running_of(WorkClass::Batch) >= places {
+        let batch_limit = (self.capacity() as f64 * self.rules.batch_share).ceil() as usize;
+        if self.running_count(WorkClass::Batch) >= batch_limit {
             return false;
         }
         let is_eager = self.rules.batch == BatchRule::Eager;
@@ -41,17 +42,17 @@
             return true;
         }
         let is_ready = |target: &WorkTarget| self.is_target_ready(target);
-        let gathered = self.room.batch_class(is_ready);
+        let accumulated = self.wait_queue.batch_attempts(is_ready);
         let is_half_over = |attempt: &&WaitingAttempt| {
-            now.saturating_sub(attempt.since) >= attempt.order.deadline.saturating_sub(now)
+            now.saturating_sub(attempt.arrived_at) >= attempt.order.deadline.saturating_sub(now)
         };
-        gathered.len() >= places || gathered.iter().any(is_half_over)
+        accumulated.len() >= batch_limit || accumulated.iter().any(is_half_over)
     }
 
     fn start(&mut self, now: MonoTime, attempt: WaitingAttempt, out: &mut Vec<AgentAction>) {
         let id = attempt.order.attempt;
-        self.standing.begin(now);
-        self.note_use(now, &attempt.order.target);
+        self.upstream_status.begin(now);
+        self.record_use(now, &attempt.order.target);
         self.marks.set(id, AttemptMark::Started);
         let running = RunningAttempt {
             started: now,
@@ -67,16 +68,16 @@
     pub(super) fn capacity(&self) -> usize {
         match (self.rules.kind, &self.engine) {
             (UpstreamKind::Service, _) => self.rules.service_limit,
-            (UpstreamKind::Engine, Some(engine)) => engine.batch + self.rules.engine_margin,
+            (UpstreamKind::Engine, Some(engine)) => engine.batch_size + self.rules.engine_margin,
             (UpstreamKind::Engine, None) => 0,
         }
     }
 
-    pub(super) fn running_of(&self, class: WorkClass) -> usize {
+    pub(super) fn running_count(&self, class: WorkClass) -> usize {
         self.running.values().filter(|running| running.class == class).count()
     }
 
-    pub(super) fn end_run(&mut self, now: MonoTime, attempt: AttemptId, end: RunEnd) {
+    pub(super) fn finish_run(&mut self, now: MonoTime, attempt: AttemptId, end: RunEnd) {
         let Some(running) = self.running.remove(&attempt) else {
             return;
         };
@@ -87,39 +88,41 @@
             RunEnd::NotRun => AttemptMark::Refused,
             RunEnd::Complete(_) | RunEnd::Broken => AttemptMark::Started,
         };
-        self.marks.close(attempt, mark, now, self.rules.mark_lifetime);
-        self.note_run_end(now, running.identity, end);
-        self.note_use(now, &running.target);
+        self.marks.set_expiring(attempt, mark, now, self.rules.mark_lifetime);
+        self.record_run_end(now, running.identity, end);
+        self.record_use(now, &running.target);
         if let (WorkTarget::Adapter(adapter), RunEnd::Broken) = (running.target, end) {
             let until = now + self.rules.settle_time;
-            self.lingering.push_back(LingeringPin { until, adapter });
+            self.lingering_pins.push_back(LingeringPin { until, adapter });
         }
     }
 
-    /// Lets go of runs that broke off, once the engine must have noticed.
-    pub(super) fn release_lingering(&mut self, now: MonoTime) {
-        while self.lingering.front().is_some_and(|pin| pin.until <= now) {
-            self.lingering.pop_front();
+    /// Removes the pins of cut-off runs once the engine must have noticed their end.
+    pub(super) fn expire_pins(&mut self, now: MonoTime) {
+        while self.lingering_pins.front().is_some_and(|pin| pin.until <= now) {
+            self.lingering_pins.pop_front();
         }
     }
 
-    fn note_use(&mut self, now: MonoTime, target: &WorkTarget) {
+    fn record_use(&mut self, now: MonoTime, target: &WorkTarget) {
         let Some(engine) = &mut self.engine else { return };
         let WorkTarget::Adapter(adapter) = target else { return };
-        if let Some(slot) = engine.table.get_mut(adapter) {
-            slot.used = now;
+        if let Some(slot) = engine.slot_table.get_mut(adapter) {
+            slot.last_used = now;
         }
     }
 
-    /// Runs of this agent that use an adapter, whichever run of the engine they began in: from
-    /// their start to their last byte, and after a broken end until the engine must have noticed.
-    pub(super) fn pins(&self, adapter: &AdapterRef) -> usize {
+    /// Returns the number of this agent's runs that use an adapter, under any process start of the
+    /// engine: from their start to the last byte of the response, and after a cut-off response
+    /// until the engine must have noticed.
+    pub(super) fn pin_count(&self, adapter: &AdapterRef) -> usize {
         let uses = |running: &&RunningAttempt| match &running.target {
             WorkTarget::Adapter(other) => other == adapter,
             WorkTarget::Service => false,
         };
         let running = self.running.values().filter(uses).count();
-        let lingering = self.lingering.iter().filter(|pin| pin.adapter == *adapter).count();
-        running + lingering
+        let lingering_pins =
+            self.lingering_pins.iter().filter(|pin| pin.adapter == *adapter).count();
+        running + lingering_pins
     }
 }
--- a/quillcove_core/src/agent/said.rs
+++ b/quillcove_core/src/agent/said.rs
@@ -1,4 +1,4 @@
-//! What the upstream says of itself, and what follows for attempts.
+//! The status that the upstream reports about itself, and its effect on attempts.
 
 use std::time::Duration;
 
@@ -9,62 +9,66 @@
 use crate::standing::{LeavingSource, StandingChange, UpstreamStanding};
 use crate::verdict::{RefusalReason, WorkRefusal};
 
-/// Reports in a row without the word after which a plain service that said that it leaves is another one: the
-/// second of them was asked for after the word had come.
-const STAYING_REPORTS: u32 = 2;
+/// Consecutive reports without draining after which a plain service that announced draining counts
+/// as a new process start. The second such report was requested after the announcement had arrived.
+const MIN_REPORTS_WITHOUT_DRAINING: u32 = 2;
 
-/// Rest that entries are told of while an upstream leaves, as the next one may stand in its place by then, and the
-/// longest one while it names a limit.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
+/// Pause announced to entries while the upstream drains, since its successor may run by then; also
+/// the longest pause announced because of a rate limit.
+const RECHECK_PAUSE: Duration = Duration::from_secs(2);
 
 impl AgentMachine {
-    /// Takes what the upstream said with an answer. What waits here for an upstream that leaves or rests is
-    /// refused at once, as others may take it.
-    pub(super) fn take_notice(
+    /// Applies a status that the upstream sent with a response. Attempts queued for an upstream
+    /// that drains or requests a pause are rejected at once, as other upstreams may be able to take
+    /// them.
+    pub(super) fn apply_notice(
         &mut self,
         now: MonoTime,
         notice: &UpstreamNotice,
         out: &mut Vec<AgentAction>,
     ) {
-        // The agent is the only one that gives it work, so that nobody returns beside it.
-        match self.standing.take(notice, Duration::ZERO, now) {
+        // The spread is zero: the agent is the only sender of work to the upstream, so no other
+        // sender resumes at the same moment.
+        match self.upstream_status.take(notice, Duration::ZERO, now) {
             Some(StandingChange::Leaves) => {
-                self.staying_reports = 0;
-                self.refuse_leaving(now, out);
+                self.reports_without_draining = 0;
+                self.refuse_all_draining(now, out);
             },
             Some(StandingChange::Rests(until)) => {
-                self.refuse_all(now, resting(until.saturating_sub(now)), out);
+                self.refuse_all(now, pause_refusal(until.saturating_sub(now)), out);
             },
-            // What waits beyond its turn is refused with the next step.
+            // Attempts whose send slot is too far away are rejected by the next `progress`.
             Some(StandingChange::Limits(_)) | None => {},
         }
     }
 
-    /// Takes whether a report says that the upstream leaves. An engine's next start shows in its incarnation; a plain
-    /// service has none, but says with each answer that it leaves, so that one which does not is another one.
-    pub(super) fn note_reported_leaving(
+    /// Applies whether a report announces draining. A new process start of an engine shows in its
+    /// incarnation. A plain service has none, but it announces draining with every response, so one
+    /// that no longer does is a new process start.
+    pub(super) fn record_reported_draining(
         &mut self,
         now: MonoTime,
         is_leaving: bool,
         out: &mut Vec<AgentAction>,
     ) {
         if is_leaving {
-            self.staying_reports = 0;
-            if self.standing.note_leaving(LeavingSource::Answer, now) {
-                self.refuse_leaving(now, out);
+            self.reports_without_draining = 0;
+            if self.upstream_status.note_leaving(LeavingSource::Answer, now) {
+                self.refuse_all_draining(now, out);
             }
             return;
         }
-        if self.rules.kind == UpstreamKind::Service && self.standing.is_leaving() {
-            self.staying_reports += 1;
-            if self.staying_reports >= STAYING_REPORTS {
-                self.standing = UpstreamStanding::default();
-                self.staying_reports = 0;
+        if self.rules.kind == UpstreamKind::Service && self.upstream_status.is_leaving() {
+            self.reports_without_draining += 1;
+            if self.reports_without_draining >= MIN_REPORTS_WITHOUT_DRAINING {
+                self.upstream_status = UpstreamStanding::default();
+                self.reports_without_draining = 0;
             }
         }
     }
 
-    /// Tells whether the upstream wants work, as far as it has said.
+    /// Returns whether the upstream, by its reported status, accepts work: it neither drains nor
+    /// requests a pause.
     ///
     /// ```
     /// use std::time::Duration;
@@ -77,37 +81,41 @@
     /// assert!(machine.wants_work(Duration::ZERO));
     /// ```
     pub fn wants_work(&self, now: MonoTime) -> bool {
-        self.check_standing(now).is_ok()
+        self.check_upstream_status(now).is_ok()
     }
 
-    /// Refuses an attempt while the upstream leaves or rests.
-    pub(super) fn check_standing(&self, now: MonoTime) -> Result<(), WorkRefusal> {
-        if self.standing.is_leaving() {
+    /// Rejects an attempt while the upstream drains or is in a requested pause.
+    pub(super) fn check_upstream_status(&self, now: MonoTime) -> Result<(), WorkRefusal> {
+        if self.upstream_status.is_leaving() {
             return Err(WorkRefusal::not_run(RefusalReason::Leaving, Some(Duration::ZERO)));
         }
-        match self.standing.rest_end(now) {
-            Some(end) => Err(resting(end.saturating_sub(now))),
+        match self.upstream_status.rest_end(now) {
+            Some(end) => Err(pause_refusal(end.saturating_sub(now))),
             None => Ok(()),
         }
     }
 
-    /// Tells whether the upstream takes another attempt now.
-    pub(super) fn may_start(&self, now: MonoTime) -> bool {
-        !self.standing.is_leaving() && self.standing.takes_work(now)
+    /// Returns whether another attempt may be sent to the upstream now.
+    pub(super) fn can_send_attempt(&self, now: MonoTime) -> bool {
+        !self.upstream_status.is_leaving() && self.upstream_status.takes_work(now)
     }
 
-    /// How long entries are to send nothing, as the upstream rests or leaves, or as others wait for their turn under
-    /// its limit. That one may be lifted at any moment, so that they look again after a while.
-    pub(super) fn rest_left(&self, now: MonoTime) -> Duration {
-        if self.standing.is_leaving() {
-            return LOOK_PAUSE;
+    /// Returns how long entries should send nothing, because the upstream drains or is in a
+    /// requested pause, or because other attempts wait for their send slots under its rate limit. A
+    /// rate limit may be lifted at any moment, so the pause that it causes is short and entries
+    /// check again after it.
+    pub(super) fn pause_left(&self, now: MonoTime) -> Duration {
+        if self.upstream_status.is_leaving() {
+            return RECHECK_PAUSE;
         }
-        let rest =
-            self.standing.rest_end(now).map_or(Duration::ZERO, |end| end.saturating_sub(now));
-        rest.max(self.limit_wait(now, self.room.len()).min(LOOK_PAUSE))
+        let requested_pause = self
+            .upstream_status
+            .rest_end(now)
+            .map_or(Duration::ZERO, |end| end.saturating_sub(now));
+        requested_pause.max(self.send_slot_wait(now, self.wait_queue.len()).min(RECHECK_PAUSE))
     }
 }
 
-fn resting(left: Duration) -> WorkRefusal {
+fn pause_refusal(left: Duration) -> WorkRefusal {
     WorkRefusal::not_run(RefusalReason::Overloaded, Some(left))
 }
--- a/quillcove_core/src/agent/slots.rs
+++ b/quillcove_core/src/agent/slots.rs
@@ -1,4 +1,4 @@
-//! The engine's adapter slots as the agent knows them.
+//! The agent's view of the engine's adapter slots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,35 +12,36 @@
 /// State of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotState {
-    /// A load order is out.
+    /// A load order was sent.
     Loading,
-    /// Serves requests.
+    /// The adapter serves requests.
     Ready,
-    /// An unload order is out, or may still take effect.
+    /// An unload order was sent; its outcome is pending or unknown.
     Unloading,
 }
 
-/// One adapter in a slot.
+/// A slot that holds an adapter.
 #[derive(Clone, Debug)]
 pub struct AdapterSlot {
-    /// State.
+    /// State of the slot.
     pub state: SlotState,
-    /// Requests of an earlier agent that may still run; they only become fewer.
-    pub foreign: usize,
-    /// Last use.
-    pub used: MonoTime,
+    /// Number of requests of an earlier agent that may still run. Only falls, except during the
+    /// settle time after a takeover.
+    pub inherited_requests: usize,
+    /// Time of the last use.
+    pub last_used: MonoTime,
 }
 
-/// All slots of one run of the engine.
+/// All slots of one process start of the engine.
 #[derive(Clone, Debug, Default)]
 pub struct SlotTable {
-    /// Number of slots.
+    /// Total number of slots.
     pub total: usize,
     slots: BTreeMap<AdapterRef, AdapterSlot>,
 }
 
 impl SlotTable {
-    /// The slots as a report shows them, for an agent that takes over an engine.
+    /// Creates the table from a report, for an agent that takes over an engine.
     ///
     /// ```
     /// use std::time::Duration;
@@ -48,7 +49,7 @@
     /// use quillcove_core::agent::slots::SlotTable;
     ///
     /// let report = EngineReport { slots: 4, ..EngineReport::default() };
-    /// assert!(SlotTable::from_report(&report, Duration::ZERO).has_free());
+    /// assert!(SlotTable::from_report(&report, Duration::ZERO).has_free_slot());
     /// ```
     pub fn from_report(report: &EngineReport, now: MonoTime) -> Self {
         let mut table = Self { total: report.slots, slots: BTreeMap::new() };
@@ -57,13 +58,13 @@
         }
         for (adapter, running) in &report.running {
             if let Some(slot) = table.slots.get_mut(adapter) {
-                slot.foreign = *running;
+                slot.inherited_requests = *running;
             }
         }
         table
     }
 
-    /// Adds an adapter.
+    /// Adds an adapter in the given state.
     ///
     /// ```
     /// use std::time::Duration;
@@ -75,7 +76,7 @@
     /// assert!(table.is_ready(&AdapterRef::new("shuttle", 1)));
     /// ```
     pub fn add(&mut self, adapter: &AdapterRef, state: SlotState, now: MonoTime) {
-        let slot = AdapterSlot { state, foreign: 0, used: now };
+        let slot = AdapterSlot { state, inherited_requests: 0, last_used: now };
         self.slots.insert(adapter.clone(), slot);
     }
 
@@ -91,7 +92,7 @@
         self.slots.remove(adapter);
     }
 
-    /// One slot.
+    /// Returns the slot of an adapter.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -103,7 +104,7 @@
         self.slots.get(adapter)
     }
 
-    /// One slot, to change.
+    /// Returns the slot of an adapter for modification.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -115,7 +116,7 @@
         self.slots.get_mut(adapter)
     }
 
-    /// All slots by adapter.
+    /// Iterates over all occupied slots, ordered by adapter.
     ///
     /// ```
     /// use quillcove_core::agent::slots::SlotTable;
@@ -126,7 +127,7 @@
         self.slots.iter()
     }
 
-    /// Tells whether requests for the adapter can start.
+    /// Returns whether requests for the adapter can start.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -138,21 +139,21 @@
         self.slots.get(adapter).is_some_and(|slot| slot.state == SlotState::Ready)
     }
 
-    /// Tells whether a slot is free.
+    /// Returns whether a slot is free.
     ///
     /// ```
     /// use quillcove_core::agent::slots::SlotTable;
     ///
-    /// assert!(!SlotTable::default().has_free());
+    /// assert!(!SlotTable::default().has_free_slot());
     /// ```
-    pub fn has_free(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.slots.len() < self.total
     }
 
-    /// Takes a later report of the same run of the engine, with the agent's own pins by adapter.
-    /// Reports lag, so a slot is dropped only when nothing is pinned and no order is out; requests
-    /// of an earlier agent only become fewer, except while the agent has just taken over and
-    /// reports may be older than it.
+    /// Applies a later report of the same process start of the engine; `pins` returns the agent's
+    /// own pins of an adapter. Reports may be outdated, so a slot is dropped only when its adapter
+    /// is not pinned and no order is pending. The number of an earlier agent's requests only falls,
+    /// except while the agent has just taken over and a report may predate the takeover.
     ///
     /// ```
     /// use std::time::Duration;
@@ -166,25 +167,25 @@
         &mut self,
         report: &EngineReport,
         pins: impl Fn(&AdapterRef) -> usize,
-        settling: bool,
-        orders_seen: bool,
+        is_settling: bool,
+        reflects_orders: bool,
         now: MonoTime,
     ) {
         for (adapter, slot) in &mut self.slots {
             let running = report.running.iter().find(|(other, _)| other == adapter);
             let running = running.map_or(0, |(_, count)| *count);
-            slot.foreign = match settling {
-                true => slot.foreign.max(running.saturating_sub(pins(adapter))),
-                false => slot.foreign.min(running),
+            slot.inherited_requests = match is_settling {
+                true => slot.inherited_requests.max(running.saturating_sub(pins(adapter))),
+                false => slot.inherited_requests.min(running),
             };
         }
-        if !orders_seen {
+        if !reflects_orders {
             return;
         }
-        let lost = |adapter: &AdapterRef, slot: &AdapterSlot| {
+        let is_lost = |adapter: &AdapterRef, slot: &AdapterSlot| {
             slot.state == SlotState::Ready && pins(adapter) == 0 && !report.loaded.contains(adapter)
         };
-        self.slots.retain(|adapter, slot| !lost(adapter, slot));
+        self.slots.retain(|adapter, slot| !is_lost(adapter, slot));
         for adapter in &report.loaded {
             if !self.slots.contains_key(adapter) {
                 self.add(adapter, SlotState::Ready, now);
@@ -193,37 +194,37 @@
     }
 }
 
-/// Ranks adapters for eviction.
-pub struct EvictRank<'a> {
-    /// Rule in use.
+/// Ranks loaded adapters for eviction.
+pub struct EvictionRanking<'a> {
+    /// Rule that selects the adapter.
     pub rule: EvictRule,
     /// Demand by adapter.
     pub demand: &'a BTreeMap<AdapterRef, DemandMeter>,
-    /// Half-life of demand.
+    /// Half-life of the demand meters.
     pub half_life: Duration,
     /// Bundle in force.
     pub bundle: &'a FleetBundle,
 }
 
-impl EvictRank<'_> {
-    /// Value of keeping an adapter loaded: its expected requests a second, weighed by priority.
-    /// An adapter that the bundle no longer serves has none.
+impl EvictionRanking<'_> {
+    /// Returns the value of keeping an adapter loaded: its expected requests per second, weighted
+    /// by priority, or zero if the bundle no longer serves it.
     ///
     /// ```
     /// use std::collections::BTreeMap;
     /// use std::time::Duration;
     /// use quillcove_core::adapter::AdapterRef;
     /// use quillcove_core::agent::event::EvictRule;
-    /// use quillcove_core::agent::slots::EvictRank;
+    /// use quillcove_core::agent::slots::EvictionRanking;
     /// use quillcove_core::bundle::FleetBundle;
     ///
-    /// let rank = EvictRank {
+    /// let ranking = EvictionRanking {
     ///     rule: EvictRule::Value,
     ///     demand: &BTreeMap::new(),
     ///     half_life: Duration::from_secs(30),
     ///     bundle: &FleetBundle::default(),
     /// };
-    /// assert_eq!(rank.value(&AdapterRef::new("shuttle", 1), Duration::ZERO), 0.0);
+    /// assert_eq!(ranking.value(&AdapterRef::new("shuttle", 1), Duration::ZERO), 0.0);
     /// ```
     pub fn value(&self, adapter: &AdapterRef, now: MonoTime) -> f64 {
         if !self.bundle.serves(adapter) {
@@ -234,23 +235,23 @@
         rate * priority_weight(self.bundle.priority_of(adapter))
     }
 
-    /// The adapter to unload: loaded, not in use by a request that runs or waits, and lowest by
-    /// the rule.
+    /// Returns the adapter to evict: one that is loaded and has no running or waiting requests, and
+    /// that ranks lowest under the rule.
     ///
     /// ```
     /// use std::collections::BTreeMap;
     /// use std::time::Duration;
     /// use quillcove_core::agent::event::EvictRule;
-    /// use quillcove_core::agent::slots::{EvictRank, SlotTable};
+    /// use quillcove_core::agent::slots::{EvictionRanking, SlotTable};
     /// use quillcove_core::bundle::FleetBundle;
     ///
-    /// let rank = EvictRank {
+    /// let ranking = EvictionRanking {
     ///     rule: EvictRule::Lru,
     ///     demand: &BTreeMap::new(),
     ///     half_life: Duration::from_secs(30),
     ///     bundle: &FleetBundle::default(),
     /// };
-    /// assert!(rank.victim(&SlotTable::default(), |_| false, Duration::ZERO).is_none());
+    /// assert!(ranking.victim(&SlotTable::default(), |_| false, Duration::ZERO).is_none());
     /// ```
     pub fn victim(
         &self,
@@ -259,21 +260,21 @@
         now: MonoTime,
     ) -> Option<AdapterRef> {
         let idle = table.iter().filter(|(adapter, slot)| {
-            slot.state == SlotState::Ready && slot.foreign == 0 && !is_in_use(adapter)
+            slot.state == SlotState::Ready && slot.inherited_requests == 0 && !is_in_use(adapter)
         });
-        let oldest = |slot: &AdapterSlot| slot.used;
+        let last_used_at = |slot: &AdapterSlot| slot.last_used;
         let chosen = match self.rule {
-            EvictRule::Lru => idle.min_by_key(|(_, slot)| oldest(slot)),
+            EvictRule::Lru => idle.min_by_key(|(_, slot)| last_used_at(slot)),
             EvictRule::Value => idle.min_by(|(a, slot_a), (b, slot_b)| {
                 let order = self.value(a, now).total_cmp(&self.value(b, now));
-                order.then(oldest(slot_a).cmp(&oldest(slot_b)))
+                order.then(last_used_at(slot_a).cmp(&last_used_at(slot_b)))
             }),
         };
         chosen.map(|(adapter, _)| adapter.clone())
     }
 }
 
-/// Weight of a bundle's priority: each step counts a quarter more.
+/// Returns the weight of a bundle's priority: each step adds a quarter.
 ///
 /// ```
 /// use quillcove_core::agent::slots::priority_weight;
--- a/quillcove_core/src/agent/waiting.rs
+++ b/quillcove_core/src/agent/waiting.rs
@@ -1,4 +1,4 @@
-//! Attempts that wait for an adapter or for a place in the upstream.
+//! Queue of attempts that wait for an adapter or for capacity of the upstream.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,88 +8,88 @@
 use crate::ids::{AttemptId, MonoTime};
 use crate::once::book::OnceKey;
 
-/// One waiting attempt.
+/// A queued attempt.
 #[derive(Clone, Debug)]
 pub struct WaitingAttempt {
-    /// What was asked.
+    /// The request to run the attempt.
     pub order: RunOrder,
-    /// The claimed right to run once, where the order had a claim.
+    /// Key of the run-once claim, if the attempt has one.
     pub once: Option<OnceKey>,
-    /// Arrival.
-    pub since: MonoTime,
+    /// Time of arrival.
+    pub arrived_at: MonoTime,
 }
 
-/// Queues by target, bounded in sum.
+/// Waiting attempts, in one queue per target. The agent bounds their total number.
 #[derive(Clone, Debug, Default)]
-pub struct WaitingRoom {
+pub struct WaitQueue {
     queues: BTreeMap<WorkTarget, VecDeque<WaitingAttempt>>,
     count: usize,
 }
 
-impl WaitingRoom {
-    /// Number of waiting attempts.
+impl WaitQueue {
+    /// Returns the number of waiting attempts.
     ///
     /// ```
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     ///
-    /// assert_eq!(WaitingRoom::default().len(), 0);
+    /// assert_eq!(WaitQueue::default().len(), 0);
     /// ```
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no attempt waits.
     ///
     /// ```
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     ///
-    /// assert!(WaitingRoom::default().is_empty());
+    /// assert!(WaitQueue::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Adds an attempt behind the others of its class.
+    /// Inserts an attempt behind the others of its class for its target.
     ///
     /// ```no_run
-    /// # use quillcove_core::agent::waiting::{WaitingAttempt, WaitingRoom};
+    /// # use quillcove_core::agent::waiting::{WaitingAttempt, WaitQueue};
     /// # fn attempt() -> WaitingAttempt { unimplemented!() }
-    /// let mut room = WaitingRoom::default();
-    /// room.push(attempt());
+    /// let mut wait_queue = WaitQueue::default();
+    /// wait_queue.push(attempt());
     /// ```
     pub fn push(&mut self, attempt: WaitingAttempt) {
         let queue = self.queues.entry(attempt.order.target.clone()).or_default();
         let class = attempt.order.class;
-        let place = queue.iter().rposition(|other| other.order.class <= class).map_or(0, |i| i + 1);
-        queue.insert(place, attempt);
+        let index = queue.iter().rposition(|other| other.order.class <= class).map_or(0, |i| i + 1);
+        queue.insert(index, attempt);
         self.count += 1;
     }
 
-    /// Takes one attempt out.
+    /// Removes and returns one attempt.
     ///
     /// ```
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     ///
-    /// assert!(WaitingRoom::default().take(1).is_none());
+    /// assert!(WaitQueue::default().remove(1).is_none());
     /// ```
-    pub fn take(&mut self, id: AttemptId) -> Option<WaitingAttempt> {
-        let found = |attempt: &WaitingAttempt| attempt.order.attempt == id;
-        let target = self.queues.iter().find(|(_, queue)| queue.iter().any(found))?.0.clone();
+    pub fn remove(&mut self, id: AttemptId) -> Option<WaitingAttempt> {
+        let has_id = |attempt: &WaitingAttempt| attempt.order.attempt == id;
+        let target = self.queues.iter().find(|(_, queue)| queue.iter().any(has_id))?.0.clone();
         let queue = self.queues.get_mut(&target)?;
-        let place = queue.iter().position(found)?;
-        let attempt = queue.remove(place);
-        self.trim(&target);
+        let index = queue.iter().position(has_id)?;
+        let attempt = queue.remove(index);
+        self.record_removal(&target);
         attempt
     }
 
-    /// Takes all attempts that a test selects.
+    /// Removes and returns all attempts that `is_selected` accepts.
     ///
     /// ```
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     ///
-    /// assert!(WaitingRoom::default().take_where(|_| true).is_empty());
+    /// assert!(WaitQueue::default().remove_where(|_| true).is_empty());
     /// ```
-    pub fn take_where(
+    pub fn remove_where(
         &mut self,
         is_selected: impl Fn(&WaitingAttempt) -> bool,
     ) -> Vec<WaitingAttempt> {
@@ -98,24 +98,25 @@
             if !queue.iter().any(&is_selected) {
                 continue;
             }
-            let (selected, kept): (VecDeque<_>, VecDeque<_>) =
+            let (selected, remaining): (VecDeque<_>, VecDeque<_>) =
                 queue.drain(..).partition(|attempt| is_selected(attempt));
             taken.extend(selected);
-            *queue = kept;
+            *queue = remaining;
         }
         self.queues.retain(|_, queue| !queue.is_empty());
         self.count -= taken.len();
         taken
     }
 
-    /// The first attempt, by class and then arrival, among targets and classes that tests admit.
+    /// Returns the first attempt, by class and then arrival, among the targets that `is_ready` and
+    /// the classes that `is_admitted` accept.
     ///
     /// ```
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     ///
-    /// assert!(WaitingRoom::default().first(|_| true, |_| true).is_none());
+    /// assert!(WaitQueue::default().first_ready(|_| true, |_| true).is_none());
     /// ```
-    pub fn first(
+    pub fn first_ready(
         &self,
         is_ready: impl Fn(&WorkTarget) -> bool,
         is_admitted: impl Fn(WorkClass) -> bool,
@@ -123,84 +124,85 @@
         let ready = self.queues.iter().filter(|(target, _)| is_ready(target));
         let heads = ready.filter_map(|(_, queue)| queue.front());
         let admitted = heads.filter(|head| is_admitted(head.order.class));
-        let first = admitted.min_by_key(|head| (head.order.class, head.since));
+        let first = admitted.min_by_key(|head| (head.order.class, head.arrived_at));
         first.map(|head| head.order.attempt)
     }
 
-    /// Batch-class attempts for targets that a test admits.
+    /// Returns the batch-class attempts whose targets `is_ready` accepts.
     ///
     /// ```
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     ///
-    /// assert!(WaitingRoom::default().batch_class(|_| true).is_empty());
+    /// assert!(WaitQueue::default().batch_attempts(|_| true).is_empty());
     /// ```
-    pub fn batch_class(&self, is_ready: impl Fn(&WorkTarget) -> bool) -> Vec<&WaitingAttempt> {
+    pub fn batch_attempts(&self, is_ready: impl Fn(&WorkTarget) -> bool) -> Vec<&WaitingAttempt> {
         let ready = self.queues.iter().filter(|(target, _)| is_ready(target));
         let attempts = ready.flat_map(|(_, queue)| queue);
         attempts.filter(|attempt| attempt.order.class == WorkClass::Batch).collect()
     }
 
-    /// All of them in the order in which they start where all are ready: by class and then arrival.
+    /// Returns all attempts in the order in which they start once their targets are ready: by class
+    /// and then arrival.
     ///
     /// ```
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     ///
-    /// assert!(WaitingRoom::default().by_turn().is_empty());
+    /// assert!(WaitQueue::default().in_start_order().is_empty());
     /// ```
-    pub fn by_turn(&self) -> Vec<&WaitingAttempt> {
+    pub fn in_start_order(&self) -> Vec<&WaitingAttempt> {
         let mut all: Vec<&WaitingAttempt> = self.queues.values().flatten().collect();
-        all.sort_by_key(|attempt| (attempt.order.class, attempt.since));
+        all.sort_by_key(|attempt| (attempt.order.class, attempt.arrived_at));
         all
     }
 
-    /// Takes the last attempt of the least urgent class, when it is less urgent than the given
-    /// one, to make room.
+    /// Removes and returns the latest attempt of the least urgent class, if that class is less
+    /// urgent than `class`, to free a place in the queue.
     ///
     /// ```
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     /// use quillcove_core::class::WorkClass;
     ///
-    /// assert!(WaitingRoom::default().take_less_urgent(WorkClass::Urgent).is_none());
+    /// assert!(WaitQueue::default().remove_less_urgent(WorkClass::Urgent).is_none());
     /// ```
-    pub fn take_less_urgent(&mut self, class: WorkClass) -> Option<WaitingAttempt> {
+    pub fn remove_less_urgent(&mut self, class: WorkClass) -> Option<WaitingAttempt> {
         let tails = self.queues.iter().filter_map(|(target, queue)| Some((target, queue.back()?)));
-        let last = tails.max_by_key(|(_, tail)| (tail.order.class, tail.since))?;
+        let last = tails.max_by_key(|(_, tail)| (tail.order.class, tail.arrived_at))?;
         if last.1.order.class <= class {
             return None;
         }
         let target = last.0.clone();
         let attempt = self.queues.get_mut(&target)?.pop_back();
-        self.trim(&target);
+        self.record_removal(&target);
         attempt
     }
 
-    fn trim(&mut self, target: &WorkTarget) {
+    fn record_removal(&mut self, target: &WorkTarget) {
         self.count -= 1;
         if self.queues.get(target).is_some_and(VecDeque::is_empty) {
             self.queues.remove(target);
         }
     }
 
-    /// Tells whether an attempt waits for the adapter.
+    /// Returns whether an attempt waits for the adapter.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     ///
-    /// assert!(!WaitingRoom::default().wants(&AdapterRef::new("shuttle", 1)));
+    /// assert!(!WaitQueue::default().has_waiting(&AdapterRef::new("shuttle", 1)));
     /// ```
-    pub fn wants(&self, adapter: &AdapterRef) -> bool {
+    pub fn has_waiting(&self, adapter: &AdapterRef) -> bool {
         self.queues.contains_key(&WorkTarget::Adapter(adapter.clone()))
     }
 
-    /// Adapters that attempts wait for, each with its queue.
+    /// Iterates over the adapters that attempts wait for, each with its queue.
     ///
     /// ```
-    /// use quillcove_core::agent::waiting::WaitingRoom;
+    /// use quillcove_core::agent::waiting::WaitQueue;
     ///
-    /// assert_eq!(WaitingRoom::default().adapters().count(), 0);
+    /// assert_eq!(WaitQueue::default().adapter_queues().count(), 0);
     /// ```
-    pub fn adapters(&self) -> impl Iterator<Item = (&AdapterRef, &VecDeque<WaitingAttempt>)> {
+    pub fn adapter_queues(&self) -> impl Iterator<Item = (&AdapterRef, &VecDeque<WaitingAttempt>)> {
         self.queues.iter().filter_map(|(target, queue)| match target {
             WorkTarget::Adapter(adapter) => Some((adapter, queue)),
             WorkTarget::Service => None,
