--- a/quillcove_core/src/entry/retry.rs
+++ b/quillcove_core/src/entry/retry.rs
@@ -1,13 +1,14 @@
-//! The budget of repeats, so that an overload is not made worse by them.
+//! Retry budget: limits retries to a share of first attempts, so that they do not aggravate an
+//! overload.
 
-/// Repeats that may be saved up.
-const SAVING_LIMIT: f64 = 20.0;
+/// Default capacity, in retries.
+const DEFAULT_CAPACITY: f64 = 20.0;
 
-/// What sums of shares lose by rounding: ten times a tenth is a little less than one, which would cost
-/// a budget that saves up a single repeat every eleventh.
-const ROUNDING: f64 = 1e-9;
+/// Tolerance for rounding errors of summed shares: ten times 0.1 is slightly less than 1, so that a
+/// budget with a capacity of one retry would otherwise deny it until the eleventh first attempt.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Allows repeats as a share of first attempts.
+/// Token bucket that allows retries as a share of first attempts.
 ///
 /// ```
 /// use quillcove_core::entry::retry::RetryBudget;
@@ -22,12 +23,12 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share: f64,
-    saving: f64,
+    capacity: f64,
     left: f64,
 }
 
 impl RetryBudget {
-    /// A budget with a full saving.
+    /// Creates a full budget with the default capacity.
     ///
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
@@ -35,47 +36,47 @@
     /// assert!(RetryBudget::new(0.2).left() > 0.0);
     /// ```
     pub fn new(share: f64) -> Self {
-        Self::with_saving(share, SAVING_LIMIT)
+        Self::with_capacity(share, DEFAULT_CAPACITY)
     }
 
-    /// A budget that saves up no more than this many repeats, and starts with all of them.
+    /// Creates a full budget with the given capacity in retries.
     ///
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
     ///
-    /// assert_eq!(RetryBudget::with_saving(0.2, 3.0).left(), 3.0);
+    /// assert_eq!(RetryBudget::with_capacity(0.2, 3.0).left(), 3.0);
     /// ```
-    pub fn with_saving(share: f64, saving: f64) -> Self {
-        Self::starting_with(share, saving, saving)
+    pub fn with_capacity(share: f64, capacity: f64) -> Self {
+        Self::starting_with(share, capacity, capacity)
     }
 
-    /// A budget that saves up no more than this many repeats, and starts with some of them.
+    /// Creates a budget with the given capacity that starts with `left` retries.
     ///
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
     ///
     /// assert_eq!(RetryBudget::starting_with(0.2, 3.0, 1.0).left(), 1.0);
     /// ```
-    pub fn starting_with(share: f64, saving: f64, left: f64) -> Self {
-        Self { share, saving, left }
+    pub fn starting_with(share: f64, capacity: f64, left: f64) -> Self {
+        Self { share, capacity, left }
     }
 
-    /// Takes over another share and saving; what was saved up beyond it is lost.
+    /// Changes the share and the capacity. Retries beyond the new capacity are dropped.
     ///
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
     ///
-    /// let mut budget = RetryBudget::with_saving(0.2, 9.0);
+    /// let mut budget = RetryBudget::with_capacity(0.2, 9.0);
     /// budget.resize(0.1, 3.0);
     /// assert_eq!(budget.left(), 3.0);
     /// ```
-    pub fn resize(&mut self, share: f64, saving: f64) {
+    pub fn resize(&mut self, share: f64, capacity: f64) {
         self.share = share;
-        self.saving = saving;
-        self.left = self.left.min(saving);
+        self.capacity = capacity;
+        self.left = self.left.min(capacity);
     }
 
-    /// Counts a first attempt.
+    /// Records a first attempt, which adds its share of a retry.
     ///
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
@@ -83,10 +84,10 @@
     /// RetryBudget::new(0.2).note_first();
     /// ```
     pub fn note_first(&mut self) {
-        self.left = (self.left + self.share).min(self.saving);
+        self.left = (self.left + self.share).min(self.capacity);
     }
 
-    /// Takes one repeat; `false` when there is none left.
+    /// Consumes one retry. Returns `false` if none is available.
     ///
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
@@ -101,7 +102,7 @@
         true
     }
 
-    /// Tells whether there is a repeat left.
+    /// Returns whether a retry is available.
     ///
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
@@ -109,10 +110,10 @@
     /// assert!(RetryBudget::new(0.2).allows());
     /// ```
     pub fn allows(&self) -> bool {
-        self.left + ROUNDING >= 1.0
+        self.left + ROUNDING_TOLERANCE >= 1.0
     }
 
-    /// Repeats allowed now.
+    /// Returns the number of available retries, with fractions.
     ///
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
