--- a/quillcove_core/src/entry/event.rs
+++ b/quillcove_core/src/entry/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the entry's machine and what comes out.
+//! Events, actions and settings of the entry's state machine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,23 +17,23 @@
 };
 use crate::verdict::WorkRefusal;
 
-/// Where a request wants to go.
+/// Target of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteTarget {
-    /// To an engine of the adapter's base model.
+    /// Any engine of the adapter's base model.
     Adapter {
-        /// Adapter with version.
+        /// Adapter and its version.
         adapter: AdapterRef,
-        /// Its base model.
+        /// Base model of the adapter.
         model: ModelName,
     },
-    /// To any replica of a plain service.
+    /// Any replica of a plain service.
     Service(ServiceName),
-    /// To this one host and no other, because it owns the request's ticket or key.
+    /// Only this host, because it owns the request's ticket or key.
     Owner(HostId),
 }
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request may be retried after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RepeatRule {
@@ -43,41 +43,42 @@
     Once,
 }
 
-/// One caller's request.
+/// Request of a caller, with what is needed to route it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteQuery {
-    /// Names the request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Where it wants to go.
+    /// Target of the request.
     pub target: RouteTarget,
-    /// Urgency.
+    /// Work class, which orders requests by urgency.
     pub class: WorkClass,
-    /// Whether it may be repeated.
+    /// Whether it may be retried after it may have run.
     pub repeat: RepeatRule,
-    /// Time on the entry's clock after which the answer is of no use.
+    /// Deadline on the entry's monotonic clock.
     pub deadline: MonoTime,
-    /// Whose request it is.
+    /// Caller that sent it.
     pub caller: CallerId,
-    /// Hash of the prompt's beginning, for engines that cache prefixes.
+    /// Hash of the start of the prompt, for engines that cache prefixes.
     pub prefix: Option<u64>,
-    /// Most upstreams that it may be sent to, where its route names fewer than the rules.
+    /// Attempt limit of its route; the lower of this and [`EntryRules::attempt_limit`] applies.
     pub attempt_limit: Option<u32>,
-    /// What it is, whatever its id; `None` where that is not known.
+    /// Digest of its content and caller, equal for repeated requests with different ids; `None` if
+    /// unknown.
     pub identity: Option<RequestIdentity>,
 }
 
-/// One host of the platform's list.
+/// One host of the platform's host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// Name.
+    /// Name of the host.
     pub host: HostId,
-    /// Address of the agent for attempts, as IP and port.
+    /// Address (IP and port) at which the agent accepts attempts.
     pub address: String,
-    /// Address of the agent for short calls of other quillcove processes, as IP and port.
+    /// Address (IP and port) at which the agent accepts control calls of other quillcove processes.
     pub control: String,
-    /// Hall.
+    /// Hall of the host.
     pub hall: HallName,
-    /// Live or leaving.
+    /// Whether the host is live or draining.
     pub state: HostState,
     /// Kind of its upstream.
     pub kind: UpstreamKind,
@@ -86,7 +87,7 @@
 }
 
 impl HostRecord {
-    /// Tells whether the host's agent is for requests to this target.
+    /// Returns whether the host's agent accepts requests for this target.
     ///
     /// ```no_run
     /// # use quillcove_core::entry::event::{HostRecord, RouteTarget};
@@ -106,25 +107,25 @@
     }
 }
 
-/// What an agent says of itself with each answer.
+/// Status that an agent sends with each response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentNews {
-    /// Run of the agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Whether it refuses new work because it leaves.
+    /// Whether it rejects new work because it is draining.
     pub leaving: bool,
-    /// Attempts at its upstream.
+    /// Attempts running at its upstream.
     pub running: usize,
-    /// Attempts that wait.
+    /// Attempts waiting in its queue.
     pub waiting: usize,
-    /// Places at its upstream.
+    /// Attempts that its upstream can run at the same time.
     pub capacity: usize,
-    /// Bundle in force there.
+    /// Version of the bundle in force at the agent.
     pub bundle: BundleVersion,
-    /// Requests that were at its upstream when that ended.
+    /// Crash records of requests that were running when its upstream exited.
     #[serde(default, skip_serializing_if = "CrashBeacon::is_empty")]
     pub crashes: CrashBeacon,
-    /// How long its upstream still wants no work, in milliseconds.
+    /// Remaining time of the pause requested by its upstream, in milliseconds.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub rest_ms: u64,
 }
@@ -133,111 +134,113 @@
     *number == 0
 }
 
-/// How one attempt ended, as far as the entry can tell.
+/// Outcome of an attempt, as seen by the entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The upstream's answer begins; it goes to the caller and nothing is repeated after it.
+    /// The response started. It is passed on to the caller, so the request is not retried after
+    /// this.
     Answered,
-    /// The agent refused it.
+    /// The agent rejected it.
     Refused(WorkRefusal),
-    /// No connection could be made, so it never left.
+    /// The connection could not be established, so nothing was sent.
     Unreachable,
-    /// It was sent, and then the connection broke or time ran out.
+    /// It was sent, and then the connection broke or timed out.
     Lost,
 }
 
-/// Events of the entry's machine.
+/// Input of the entry's state machine.
 #[derive(Clone, Debug)]
 pub enum EntryEvent {
     /// A caller's request was admitted.
     Admitted(RouteQuery),
     /// An attempt ended.
     AttemptEnded(AttemptId, AttemptEnd),
-    /// The answer to a request was passed on to its last byte, or the caller went.
+    /// The response was passed on completely, or the caller disconnected.
     Done(RequestId),
-    /// An agent spoke of itself.
+    /// An agent sent its status.
     Heard(HostId, AgentNews),
-    /// The host list was read, or could not be read (`None`).
+    /// The host list was read, or reading it failed (`None`).
     HostsSeen(Option<Vec<HostRecord>>),
-    /// A bundle is in force.
+    /// A verified bundle was received.
     BundleTaken(Arc<FleetBundle>),
-    /// The process is asked to stop.
+    /// The process was asked to stop.
     StopAsked,
-    /// Time passed.
+    /// Periodic timer tick.
     Ticked,
 }
 
-/// One attempt to make.
+/// An attempt to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptOrder {
-    /// Request it belongs to.
+    /// Request that it belongs to.
     pub request: RequestId,
-    /// Names the attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Host whose agent gets it.
+    /// Host whose agent receives it.
     pub host: HostId,
     /// Address of that agent.
     pub address: String,
-    /// Run of that agent; 0 when it is not known yet, which the agent refuses while it says its
-    /// own.
+    /// Incarnation of that agent, 0 if not known yet. The agent rejects an attempt with any other
+    /// incarnation than its own, and reports its own with the rejection.
     pub incarnation: Incarnation,
 }
 
-/// Actions of the entry's machine.
+/// Output of the entry's state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryAction {
-    /// Send the request to an agent.
+    /// Send an attempt to an agent.
     Send(AttemptOrder),
-    /// Answer the caller with a refusal.
+    /// Reject the caller's request.
     Finish(RequestId, WorkRefusal),
-    /// Read the host list now, because this process was paused.
+    /// Read the host list now, because this process was suspended.
     ReadHosts,
-    /// Ask agents for a newer bundle, because one of them has it.
+    /// Request the newer bundle that an agent has reported.
     SeekBundle,
-    /// Nothing is in flight and the process may end.
+    /// No request is in flight and the process may exit.
     Stopped,
 }
 
-/// How an upstream is chosen.
+/// Algorithm that chooses the upstream of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteRule {
-    /// Any; a baseline.
+    /// Uniformly at random; a baseline for comparison.
     Random,
-    /// The one with the fewest requests; a baseline.
+    /// Lowest load; a baseline for comparison.
     LeastLoaded,
-    /// The first by rendezvous hashing; a baseline.
+    /// Highest rank by rendezvous hashing; a baseline for comparison.
     Rendezvous,
-    /// The first by rendezvous hashing that is not loaded beyond its share.
+    /// Highest rank by rendezvous hashing among upstreams whose load is within the bound.
     BoundedRendezvous,
 }
 
-/// Settings of the entry's machine.
+/// Settings of the entry's state machine.
 #[derive(Clone, Debug)]
 pub struct EntryRules {
-    /// Hall of this process.
+    /// Hall of this process; upstreams there are near.
     pub hall: HallName,
-    /// Choice of the upstream.
+    /// Algorithm that chooses the upstream of a request for an adapter.
     pub route: RouteRule,
-    /// An upstream may have this many times the mean load before the next in rank is taken.
+    /// Load, as a multiple of the mean load, from which the next upstream in rank is chosen.
     pub load_bound: f64,
-    /// Rank places that a host in another hall loses, as a share of the whole range.
+    /// Amount subtracted from the rank of a far host; ranks range from 0 to 1.
     pub far_penalty: f64,
-    /// Most requests in flight.
+    /// Maximum number of requests in flight.
     pub request_limit: usize,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub attempt_limit: u32,
-    /// Repeats allowed for each first attempt, over time.
+    /// Retries allowed per first attempt, on average.
     pub retry_share: f64,
-    /// Failures in a row after which an upstream is left out for a while.
+    /// Consecutive failures after which an upstream is ejected for a while.
     pub eject_after: u32,
-    /// First time that an upstream is left out; doubles with each further time.
+    /// Duration of the first ejection; doubles with each consecutive ejection.
     pub eject_time: Duration,
-    /// Share of the upstreams for one target that stay in whatever they do.
+    /// Minimum share of a target's upstreams that must not be ejected; if fewer remain, ejections are
+    /// ignored.
     pub eject_floor: f64,
-    /// Time over which a returned upstream gets its full share again.
+    /// Time after an ejection over which an upstream's share of the load increases to its full share.
     pub slow_start: Duration,
-    /// A gap between events that counts as a pause of the process.
+    /// Gap between events that counts as a suspension of the process.
     pub pause_limit: Duration,
 }
 
--- a/quillcove_core/src/entry/fleet.rs
+++ b/quillcove_core/src/entry/fleet.rs
@@ -1,4 +1,5 @@
-//! What an entry knows of the agents: the host list joined with what it hears itself.
+//! Upstreams known to an entry: the platform's host list joined with the status that agents report
+//! and with the outcome of the entry's own attempts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,48 +12,48 @@
 use crate::standing::UpstreamStanding;
 use crate::standing::notice::UpstreamNotice;
 
-/// Longest time that an upstream is left out.
-const LAST_EJECTION: Duration = Duration::from_secs(30);
+/// Maximum duration of an ejection.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
 
-/// Share of its load that a returned upstream starts with.
+/// Share of the load that an upstream gets at the end of its ejection.
 const SLOW_START_SHARE: f64 = 0.1;
 
-/// One agent as an entry knows it.
+/// An upstream and its agent, as known to an entry.
 #[derive(Clone, Debug)]
 pub struct UpstreamView {
-    /// Record of the host list.
+    /// Entry of the host list.
     pub record: HostRecord,
-    /// Run of the agent, 0 while unknown.
+    /// Incarnation of the agent, 0 while unknown.
     pub incarnation: Incarnation,
-    /// Whether the last host list had it.
+    /// Whether it was in the last host list.
     pub is_listed: bool,
-    /// The agent said that it leaves.
-    pub says_leaving: bool,
-    /// Rests of its upstream, of which its agent told.
-    pub standing: UpstreamStanding,
-    /// Requests of this entry there.
+    /// Whether the agent has reported that it is draining.
+    pub has_reported_draining: bool,
+    /// Status of the upstream: pauses that it requested, as reported by its agent.
+    pub status: UpstreamStanding,
+    /// Requests of this entry that are in flight there.
     pub in_flight: usize,
-    /// Attempts running there, by its last news.
+    /// Attempts running there, as last reported by the agent.
     pub running: usize,
-    /// Attempts waiting there, by its last news.
+    /// Attempts waiting there, as last reported by the agent.
     pub waiting: usize,
-    /// Places there, by its last news.
+    /// Attempts that can run there at the same time, as last reported by the agent.
     pub capacity: usize,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Times left out in a row.
+    /// Consecutive ejections.
     pub ejections: u32,
-    /// Left out until this time.
-    pub ejected_until: MonoTime,
-    /// Returned at this time.
-    pub returned: Option<MonoTime>,
+    /// End of the last ejection.
+    pub ejection_end: MonoTime,
+    /// Start of the slow start after the last ejection; `None` if it was never ejected.
+    pub slow_start_begin: Option<MonoTime>,
 }
 
 impl UpstreamView {
     fn new(record: HostRecord) -> Self {
         Self {
-            says_leaving: false,
-            standing: UpstreamStanding::default(),
+            has_reported_draining: false,
+            status: UpstreamStanding::default(),
             record,
             is_listed: true,
             incarnation: 0,
@@ -62,26 +63,27 @@
             capacity: 0,
             failures: 0,
             ejections: 0,
-            ejected_until: MonoTime::ZERO,
-            returned: None,
+            ejection_end: MonoTime::ZERO,
+            slow_start_begin: None,
         }
     }
 
-    /// Whether it gets no new work: by its own word, by the host list's, or because the host list
-    /// no longer has it.
+    /// Returns whether it gets no new work: its agent or the host list reports that it is draining,
+    /// or it is no longer in the host list.
     ///
     /// ```no_run
     /// # use quillcove_core::entry::fleet::UpstreamView;
     /// # fn upstream() -> UpstreamView { unimplemented!() }
-    /// upstream().is_leaving();
+    /// upstream().is_draining();
     /// ```
-    pub fn is_leaving(&self) -> bool {
-        self.says_leaving || !self.is_listed || self.record.state == HostState::Leaving
+    pub fn is_draining(&self) -> bool {
+        self.has_reported_draining || !self.is_listed || self.record.state == HostState::Leaving
     }
 
-    /// Load as seen from here: the larger of what the agent last said runs there and what this
-    /// entry has there without those that wait, made larger while the upstream is just back.
-    /// Waiting attempts mostly wait for loads, and a spill to another engine would need one more.
+    /// Returns the estimated load in requests: the larger of the running attempts that the agent last
+    /// reported and this entry's own requests there without waiting ones, scaled up during the slow
+    /// start after an ejection. Waiting attempts are left out because most of them wait for an
+    /// adapter load, and choosing another engine instead would need one more load.
     ///
     /// ```no_run
     /// # use quillcove_core::entry::fleet::UpstreamView;
@@ -93,50 +95,51 @@
     pub fn load(&self, now: MonoTime, slow_start: Duration) -> f64 {
         let own = self.in_flight.saturating_sub(self.waiting);
         let load = own.max(self.running) as f64;
-        let Some(returned) = self.returned else {
+        let Some(slow_start_begin) = self.slow_start_begin else {
             return load;
         };
-        let age = now.saturating_sub(returned).as_secs_f64() / slow_start.as_secs_f64();
+        let age = now.saturating_sub(slow_start_begin).as_secs_f64() / slow_start.as_secs_f64();
         (load + 1.0) / age.clamp(SLOW_START_SHARE, 1.0) - 1.0
     }
 }
 
-/// All agents an entry knows.
+/// All upstreams known to an entry, by host.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamTable {
     upstreams: BTreeMap<HostId, UpstreamView>,
 }
 
-/// One agent in a dump.
+/// One upstream in the state dump.
 #[derive(Clone, Debug, Serialize)]
 pub struct UpstreamSummary {
-    /// Host.
+    /// Name of the host.
     pub host: HostId,
-    /// Hall.
+    /// Hall of the host.
     pub hall: String,
     /// Address of the agent.
     pub address: String,
-    /// Base model or service.
+    /// Base model of an engine, or name of a plain service.
     pub serves: String,
-    /// Run of the agent, 0 while unknown.
+    /// Incarnation of the agent, 0 while unknown.
     pub incarnation: Incarnation,
-    /// Whether it gets no new work because it leaves.
+    /// Whether it gets no new work because it is draining.
     pub leaving: bool,
-    /// Whether it is left out after failures.
+    /// Whether it is ejected after failures.
     pub ejected: bool,
-    /// How long its upstream still wants no work, in milliseconds.
+    /// Remaining time of the pause requested by the upstream, in milliseconds.
     pub rest_left_ms: u64,
-    /// Requests of this entry there.
+    /// Requests of this entry that are in flight there.
     pub in_flight: usize,
-    /// Attempts running there, by its last news.
+    /// Attempts running there, as last reported by the agent.
     pub running: usize,
-    /// Attempts waiting there, by its last news.
+    /// Attempts waiting there, as last reported by the agent.
     pub waiting: usize,
 }
 
 impl UpstreamTable {
-    /// Takes a host list. A host that is no longer listed is dropped once nothing is in flight
-    /// there; an agent's own word that it leaves stays until the agent restarts.
+    /// Applies a new host list. A host that is no longer listed is removed once nothing is in flight
+    /// there. An agent that reported draining is considered draining until it restarts, even if the
+    /// list has it as live.
     ///
     /// ```
     /// use quillcove_core::entry::fleet::UpstreamTable;
@@ -151,7 +154,7 @@
         }
         for record in records {
             match self.upstreams.get_mut(&record.host) {
-                Some(upstream) => Self::renew(upstream, record),
+                Some(upstream) => Self::update_record(upstream, record),
                 None => {
                     self.upstreams.insert(record.host.clone(), UpstreamView::new(record));
                 },
@@ -160,23 +163,24 @@
         self.upstreams.retain(|_, upstream| upstream.is_listed || upstream.in_flight > 0);
     }
 
-    fn renew(upstream: &mut UpstreamView, record: HostRecord) {
+    fn update_record(upstream: &mut UpstreamView, record: HostRecord) {
         if upstream.record.address != record.address {
             upstream.incarnation = 0;
-            upstream.says_leaving = false;
-            upstream.standing = UpstreamStanding::default();
+            upstream.has_reported_draining = false;
+            upstream.status = UpstreamStanding::default();
         }
         upstream.is_listed = true;
         upstream.record = record;
     }
 
-    /// Takes an agent's word about itself.
+    /// Records the status that an agent reported. Draining and the requested pause are reset when the
+    /// incarnation changes, because they belong to one process start of the agent.
     ///
     /// ```
     /// use quillcove_core::entry::event::AgentNews;
     /// use quillcove_core::entry::fleet::UpstreamTable;
     ///
-    /// let news = AgentNews {
+    /// let agent_status = AgentNews {
     ///     incarnation: 5,
     ///     leaving: false,
     ///     running: 0,
@@ -186,30 +190,30 @@
     ///     crashes: Default::default(),
     ///     rest_ms: 0,
     /// };
-    /// UpstreamTable::default().hear("e1", &news, Default::default());
+    /// UpstreamTable::default().hear("e1", &agent_status, Default::default());
     /// ```
-    pub fn hear(&mut self, host: &str, news: &AgentNews, now: MonoTime) {
+    pub fn hear(&mut self, host: &str, agent_status: &AgentNews, now: MonoTime) {
         let Some(upstream) = self.upstreams.get_mut(host) else {
             return;
         };
-        if upstream.incarnation != news.incarnation {
-            upstream.incarnation = news.incarnation;
-            upstream.says_leaving = false;
-            upstream.standing = UpstreamStanding::default();
+        if upstream.incarnation != agent_status.incarnation {
+            upstream.incarnation = agent_status.incarnation;
+            upstream.has_reported_draining = false;
+            upstream.status = UpstreamStanding::default();
         }
-        upstream.says_leaving |= news.leaving;
-        let rest = (news.rest_ms > 0).then(|| Duration::from_millis(news.rest_ms));
-        upstream.standing.take(
+        upstream.has_reported_draining |= agent_status.leaving;
+        let rest = (agent_status.rest_ms > 0).then(|| Duration::from_millis(agent_status.rest_ms));
+        upstream.status.take(
             &UpstreamNotice { is_leaving: false, rest, limit: None },
             Duration::ZERO,
             now,
         );
-        upstream.running = news.running;
-        upstream.waiting = news.waiting;
-        upstream.capacity = news.capacity;
+        upstream.running = agent_status.running;
+        upstream.waiting = agent_status.waiting;
+        upstream.capacity = agent_status.capacity;
     }
 
-    /// One agent.
+    /// Returns the upstream on a host.
     ///
     /// ```
     /// use quillcove_core::entry::fleet::UpstreamTable;
@@ -220,7 +224,7 @@
         self.upstreams.get(host)
     }
 
-    /// Number of agents.
+    /// Returns the number of upstreams.
     ///
     /// ```
     /// use quillcove_core::entry::fleet::UpstreamTable;
@@ -231,7 +235,7 @@
         self.upstreams.len()
     }
 
-    /// Tells whether no agent is known.
+    /// Returns whether no upstream is known.
     ///
     /// ```
     /// use quillcove_core::entry::fleet::UpstreamTable;
@@ -242,81 +246,82 @@
         self.upstreams.is_empty()
     }
 
-    /// Counts an attempt that is sent.
+    /// Records that an attempt is sent.
     ///
     /// ```
     /// use quillcove_core::entry::fleet::UpstreamTable;
     ///
-    /// UpstreamTable::default().begin("e1", std::time::Duration::ZERO);
+    /// UpstreamTable::default().record_attempt_start("e1", std::time::Duration::ZERO);
     /// ```
-    pub fn begin(&mut self, host: &str, now: MonoTime) {
+    pub fn record_attempt_start(&mut self, host: &str, now: MonoTime) {
         if let Some(upstream) = self.upstreams.get_mut(host) {
-            upstream.standing.begin(now);
+            upstream.status.begin(now);
             upstream.in_flight += 1;
         }
     }
 
-    /// Counts an attempt that is over.
+    /// Records that an attempt ended.
     ///
     /// ```
     /// use quillcove_core::entry::fleet::UpstreamTable;
     ///
-    /// UpstreamTable::default().end("e1");
+    /// UpstreamTable::default().record_attempt_end("e1");
     /// ```
-    pub fn end(&mut self, host: &str) {
+    pub fn record_attempt_end(&mut self, host: &str) {
         if let Some(upstream) = self.upstreams.get_mut(host) {
             upstream.in_flight = upstream.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes that an agent answered.
+    /// Records a response of the agent, which resets its failures and ejections.
     ///
     /// ```
     /// use quillcove_core::entry::fleet::UpstreamTable;
     ///
-    /// UpstreamTable::default().succeed("e1");
+    /// UpstreamTable::default().record_success("e1");
     /// ```
-    pub fn succeed(&mut self, host: &str) {
+    pub fn record_success(&mut self, host: &str) {
         if let Some(upstream) = self.upstreams.get_mut(host) {
             upstream.failures = 0;
             upstream.ejections = 0;
         }
     }
 
-    /// Notes that an agent could not be reached or its answer was lost; after some failures in a
-    /// row it is left out for a while.
+    /// Records that the agent could not be reached or its response was lost. Ejects the upstream
+    /// after [`EntryRules::eject_after`] consecutive failures.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::entry::event::EntryRules;
     /// use quillcove_core::entry::fleet::UpstreamTable;
     ///
-    /// UpstreamTable::default().fail("e1", Duration::ZERO, &EntryRules::default());
+    /// UpstreamTable::default().record_failure("e1", Duration::ZERO, &EntryRules::default());
     /// ```
-    pub fn fail(&mut self, host: &str, now: MonoTime, rules: &EntryRules) {
+    pub fn record_failure(&mut self, host: &str, now: MonoTime, rules: &EntryRules) {
         let Some(upstream) = self.upstreams.get_mut(host) else {
             return;
         };
         upstream.failures += 1;
-        if upstream.failures < rules.eject_after || now < upstream.ejected_until {
+        if upstream.failures < rules.eject_after || now < upstream.ejection_end {
             return;
         }
         let time = rules.eject_time * 2u32.saturating_pow(upstream.ejections.min(16));
         upstream.ejections += 1;
-        upstream.ejected_until = now + time.min(LAST_EJECTION);
-        upstream.returned = Some(upstream.ejected_until);
+        upstream.ejection_end = now + time.min(MAX_EJECTION_TIME);
+        upstream.slow_start_begin = Some(upstream.ejection_end);
     }
 
-    /// Agents that fit a target and do not leave.
-    fn staying<'a, 'b>(
+    /// Returns the upstreams for a target that are not draining.
+    fn not_draining<'a, 'b>(
         &'a self,
         target: &'b RouteTarget,
     ) -> impl Iterator<Item = &'a UpstreamView> + use<'a, 'b> {
-        let staying = self.upstreams.values().filter(|upstream| !upstream.is_leaving());
-        staying.filter(|upstream| upstream.record.fits(target))
+        let not_draining = self.upstreams.values().filter(|upstream| !upstream.is_draining());
+        not_draining.filter(|upstream| upstream.record.fits(target))
     }
 
-    /// When the first of the agents for a target takes work again, if all of their upstreams rest.
+    /// Returns the earliest end of the requested pauses if every upstream for a target has requested
+    /// one.
     ///
     /// ```
     /// use std::time::Duration;
@@ -327,12 +332,12 @@
     /// assert_eq!(UpstreamTable::default().rest_end(&target, Duration::ZERO), None);
     /// ```
     pub fn rest_end(&self, target: &RouteTarget, now: MonoTime) -> Option<MonoTime> {
-        let ends = self.staying(target).map(|upstream| upstream.standing.takes_work_from(now));
+        let ends = self.not_draining(target).map(|upstream| upstream.status.takes_work_from(now));
         ends.min().filter(|end| *end > now)
     }
 
-    /// Agents that may take a request: those for its target that do not leave, less those left
-    /// out after failures as long as enough others stay.
+    /// Returns the upstreams that may get a request: those for its target that are neither draining
+    /// nor pausing, without ejected ones as long as the share of [`EntryRules::eject_floor`] remains.
     ///
     /// ```
     /// use std::time::Duration;
@@ -350,17 +355,17 @@
         rules: &EntryRules,
     ) -> Vec<&UpstreamView> {
         let all: Vec<&UpstreamView> =
-            self.staying(target).filter(|upstream| upstream.standing.takes_work(now)).collect();
-        let healthy: Vec<&UpstreamView> =
-            all.iter().copied().filter(|upstream| now >= upstream.ejected_until).collect();
+            self.not_draining(target).filter(|upstream| upstream.status.takes_work(now)).collect();
+        let not_ejected: Vec<&UpstreamView> =
+            all.iter().copied().filter(|upstream| now >= upstream.ejection_end).collect();
         let floor = (all.len() as f64 * rules.eject_floor).ceil() as usize;
-        match healthy.len() >= floor.max(1) {
-            true => healthy,
+        match not_ejected.len() >= floor.max(1) {
+            true => not_ejected,
             false => all,
         }
     }
 
-    /// All agents for a dump.
+    /// Returns all upstreams for the state dump.
     ///
     /// ```
     /// use std::time::Duration;
@@ -375,9 +380,9 @@
             address: upstream.record.address.clone(),
             serves: upstream.record.serves.clone(),
             incarnation: upstream.incarnation,
-            leaving: upstream.is_leaving(),
-            ejected: now < upstream.ejected_until,
-            rest_left_ms: rest_left(upstream, now),
+            leaving: upstream.is_draining(),
+            ejected: now < upstream.ejection_end,
+            rest_left_ms: remaining_pause_ms(upstream, now),
             in_flight: upstream.in_flight,
             running: upstream.running,
             waiting: upstream.waiting,
@@ -386,7 +391,7 @@
     }
 }
 
-fn rest_left(upstream: &UpstreamView, now: MonoTime) -> u64 {
-    let end = upstream.standing.rest_end(now);
+fn remaining_pause_ms(upstream: &UpstreamView, now: MonoTime) -> u64 {
+    let end = upstream.status.rest_end(now);
     end.map_or(0, |end| end.saturating_sub(now).as_millis() as u64)
 }
--- a/quillcove_core/src/entry/mod.rs
+++ b/quillcove_core/src/entry/mod.rs
@@ -1,4 +1,7 @@
-//! Decisions of an entry host: which upstream takes a request, and what is repeated.
+//! State machine of an entry: chooses the upstream for each request and decides on retries.
+//!
+//! It knows upstreams through their agents and opens no connections itself: the process passes in
+//! events and executes the returned actions.
 
 pub mod event;
 pub mod fleet;
@@ -29,29 +32,30 @@
     query: RouteQuery,
     tried: Vec<HostId>,
     attempts: u32,
-    /// Unknown incarnations cost an extra round trip, which is not counted as an attempt.
-    introductions: u32,
+    /// Attempts rejected because the agent's incarnation was unknown or outdated. The agent reports
+    /// its incarnation with the rejection, so these are resent and not counted as attempts.
+    incarnation_retries: u32,
     current: Option<(AttemptId, HostId)>,
-    resume_at: Option<MonoTime>,
+    send_at: Option<MonoTime>,
     last_refusal: Option<WorkRefusal>,
 }
 
-/// An entry's state in a dump.
+/// State of an entry for the state dump.
 #[derive(Clone, Debug, Serialize)]
 pub struct EntryView {
-    /// Bundle in force, 0 for none.
+    /// Version of the bundle in force, 0 if there is none.
     pub bundle: BundleVersion,
     /// Requests in flight.
     pub requests: usize,
-    /// Whether new requests are refused because the process stops.
+    /// Whether new requests are rejected because the process is stopping.
     pub stopping: bool,
-    /// Repeats that the budget allows now, by upstream target.
+    /// Retries that the budget allows now.
     pub retry_budget: f64,
-    /// Agents known.
+    /// Known upstreams, one per agent.
     pub upstreams: Vec<UpstreamSummary>,
 }
 
-/// The entry's state machine.
+/// State machine of an entry.
 ///
 /// ```
 /// use std::time::Duration;
@@ -70,20 +74,20 @@
     requests: BTreeMap<RequestId, OpenRequest>,
     attempts: BTreeMap<AttemptId, RequestId>,
     budget: RetryBudget,
-    /// Under which requests upstreams end, as agents tell.
+    /// Crash records received from agents, used to reject fatal requests.
     crashes: CrashBook,
     bundle: Option<Arc<FleetBundle>>,
-    /// Highest version that agents were asked for.
-    sought: BundleVersion,
-    draws: u64,
+    /// Highest bundle version that has been requested from agents.
+    requested_version: BundleVersion,
+    draw_counter: u64,
     is_stopping: bool,
     has_stopped: bool,
-    is_confirmed: bool,
+    is_host_list_current: bool,
     last_event: MonoTime,
 }
 
 impl EntryMachine {
-    /// A machine that knows no agents yet. The seed feeds its draws.
+    /// Creates a machine without agents. `seed` initializes its pseudo-random draws.
     ///
     /// ```
     /// use std::time::Duration;
@@ -101,16 +105,16 @@
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             bundle: None,
-            sought: 0,
-            draws: seed,
+            requested_version: 0,
+            draw_counter: seed,
             is_stopping: false,
             has_stopped: false,
-            is_confirmed: true,
+            is_host_list_current: true,
             last_event: now,
         }
     }
 
-    /// The bundle in force.
+    /// Returns the bundle in force, if any.
     ///
     /// ```
     /// use std::time::Duration;
@@ -124,7 +128,8 @@
         self.bundle.as_ref()
     }
 
-    /// Tells whether requests would be taken: a bundle is in force and agents are known.
+    /// Returns whether requests are accepted: a bundle is in force, agents are known and the process
+    /// is not stopping.
     ///
     /// ```
     /// use std::time::Duration;
@@ -137,7 +142,7 @@
         self.bundle.is_some() && !self.fleet.is_empty() && !self.is_stopping
     }
 
-    /// Address for control calls to a host's agent.
+    /// Returns the address for control calls to the agent of a host.
     ///
     /// ```
     /// use std::time::Duration;
@@ -151,7 +156,7 @@
         self.fleet.get(host).map(|upstream| upstream.record.control.clone())
     }
 
-    /// The state at this time.
+    /// Returns the state for the state dump.
     ///
     /// ```
     /// use std::time::Duration;
@@ -171,7 +176,7 @@
         }
     }
 
-    /// Takes one event and appends the actions that follow from it.
+    /// Handles one event and appends the resulting actions to `out`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -184,22 +189,22 @@
     /// assert!(actions.is_empty());
     /// ```
     pub fn handle(&mut self, now: MonoTime, event: EntryEvent, out: &mut Vec<EntryAction>) {
-        self.notice_pause(now, out);
+        self.detect_suspension(now, out);
         match event {
             EntryEvent::Admitted(query) => self.admit(now, query, out),
             EntryEvent::AttemptEnded(attempt, end) => self.end_attempt(now, attempt, end, out),
-            EntryEvent::Done(request) => self.close(request),
-            EntryEvent::Heard(host, news) => {
-                self.fleet.hear(&host, &news, now);
-                self.crashes.take(&news.crashes, now);
-                self.seek_newer(news.bundle, out);
+            EntryEvent::Done(request) => self.remove_request(request),
+            EntryEvent::Heard(host, agent_status) => {
+                self.fleet.hear(&host, &agent_status, now);
+                self.crashes.take(&agent_status.crashes, now);
+                self.request_newer_bundle(agent_status.bundle, out);
             },
-            EntryEvent::HostsSeen(records) => self.see_hosts(now, records, out),
-            EntryEvent::BundleTaken(bundle) => self.take_bundle(bundle),
+            EntryEvent::HostsSeen(records) => self.apply_host_list(now, records, out),
+            EntryEvent::BundleTaken(bundle) => self.apply_bundle(bundle),
             EntryEvent::StopAsked => self.is_stopping = true,
             EntryEvent::Ticked => {
                 self.crashes.forget(now);
-                self.resume_due(now, out);
+                self.send_due(now, out);
             },
         }
         if self.is_stopping && self.requests.is_empty() && !self.has_stopped {
@@ -208,13 +213,13 @@
         }
     }
 
-    /// A process that was paused reads the host list again before it sends anything, because an
-    /// upstream may have left meanwhile.
-    fn notice_pause(&mut self, now: MonoTime, out: &mut Vec<EntryAction>) {
+    /// Detects a suspension of the process by the gap between events. No attempt is sent after it
+    /// until the host list has been read again, because an upstream may have been drained meanwhile.
+    fn detect_suspension(&mut self, now: MonoTime, out: &mut Vec<EntryAction>) {
         let gap = now.saturating_sub(self.last_event);
         self.last_event = now;
         if gap > self.rules.pause_limit {
-            self.is_confirmed = false;
+            self.is_host_list_current = false;
             out.push(EntryAction::ReadHosts);
         }
     }
@@ -230,9 +235,9 @@
             query,
             tried: Vec::new(),
             attempts: 0,
-            introductions: 0,
+            incarnation_retries: 0,
             current: None,
-            resume_at: None,
+            send_at: None,
             last_refusal: None,
         };
         self.requests.insert(request, open);
@@ -252,19 +257,20 @@
         Ok(())
     }
 
-    /// Sends the next attempt of a request; holds it while the host list is read again, and gives
-    /// it up when its deadline has passed.
+    /// Sends the next attempt of a request. Holds the request while the host list is being read
+    /// again, and finishes it with a refusal if its deadline has passed, it is known to be fatal or
+    /// no upstream is available.
     fn send(&mut self, now: MonoTime, request: RequestId, out: &mut Vec<EntryAction>) {
         let draw = self.draw();
         let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
-        if !self.is_confirmed {
-            open.resume_at = Some(now);
+        if !self.is_host_list_current {
+            open.send_at = Some(now);
             return;
         }
         if open.query.deadline <= now {
-            let refusal = late_refusal(open);
+            let refusal = deadline_refusal(open);
             self.finish(request, refusal, out);
             return;
         }
@@ -280,16 +286,16 @@
         let chosen = routing::choose(&candidates, target, &open.tried, now, &self.rules, draw);
         let Some(host) = chosen else {
             let refusal = open.last_refusal;
-            let none = self.refusal_of_none(now, request);
+            let none = self.no_upstream_refusal(now, request);
             self.finish(request, refusal.unwrap_or(none), out);
             return;
         };
-        let attempt = attempt_id(request, open.attempts + open.introductions);
+        let attempt = attempt_id(request, open.attempts + open.incarnation_retries);
         open.attempts += 1;
         open.current = Some((attempt, host.clone()));
-        open.resume_at = None;
+        open.send_at = None;
         self.attempts.insert(attempt, request);
-        self.fleet.begin(&host, now);
+        self.fleet.record_attempt_start(&host, now);
         let Some(upstream) = self.fleet.get(&host) else {
             return;
         };
@@ -302,9 +308,10 @@
         }));
     }
 
-    /// Why no upstream takes a request: all rest, or there is none. Callers of one moment are told different times,
-    /// so that they do not return as one herd.
-    fn refusal_of_none(&mut self, now: MonoTime, request: RequestId) -> WorkRefusal {
+    /// Returns the refusal for a request without an available upstream: either every upstream has
+    /// requested a pause, or there is none. The retry times are spread at random, so that callers
+    /// rejected at the same time do not all return at once.
+    fn no_upstream_refusal(&mut self, now: MonoTime, request: RequestId) -> WorkRefusal {
         let target = self.requests.get(&request).map(|open| &open.query.target);
         let Some(end) = target.and_then(|target| self.fleet.rest_end(target, now)) else {
             return WorkRefusal::not_run(RefusalReason::NoUpstream, Some(SOON));
@@ -314,8 +321,8 @@
     }
 
     fn draw(&mut self) -> u64 {
-        self.draws = self.draws.wrapping_add(1);
-        crate::rendezvous::weight("draw", &self.draws.to_string())
+        self.draw_counter = self.draw_counter.wrapping_add(1);
+        crate::rendezvous::weight("draw", &self.draw_counter.to_string())
     }
 
     fn end_attempt(
@@ -335,33 +342,33 @@
             return;
         };
         if end == AttemptEnd::Answered {
-            self.fleet.succeed(&host);
+            self.fleet.record_success(&host);
             return;
         }
         open.current = None;
-        self.fleet.end(&host);
+        self.fleet.record_attempt_end(&host);
         match end {
             AttemptEnd::Answered => {},
             AttemptEnd::Refused(refusal) => {
-                self.fleet.succeed(&host);
-                self.after_refusal(now, request, &host, refusal, out);
+                self.fleet.record_success(&host);
+                self.handle_refusal(now, request, &host, refusal, out);
             },
             AttemptEnd::Unreachable => {
-                self.fleet.fail(&host, now, &self.rules);
+                self.fleet.record_failure(&host, now, &self.rules);
                 let refusal = WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SOON));
-                self.after_refusal(now, request, &host, refusal, out);
+                self.handle_refusal(now, request, &host, refusal, out);
             },
             AttemptEnd::Lost => {
-                self.fleet.fail(&host, now, &self.rules);
+                self.fleet.record_failure(&host, now, &self.rules);
                 let refusal = WorkRefusal::may_have_run(RefusalReason::UpstreamBroke);
-                self.after_refusal(now, request, &host, refusal, out);
+                self.handle_refusal(now, request, &host, refusal, out);
             },
         }
     }
 
-    /// Repeats a request that did not run or may run twice, within limits; gives up otherwise,
-    /// at once.
-    fn after_refusal(
+    /// Schedules a retry if the request did not run or may run twice, and the attempt limit and the
+    /// retry budget allow it. Otherwise finishes the request at once.
+    fn handle_refusal(
         &mut self,
         now: MonoTime,
         request: RequestId,
@@ -372,36 +379,36 @@
         let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
-        let is_introduction = refusal.reason == RefusalReason::WrongIncarnation
+        let is_incarnation_retry = refusal.reason == RefusalReason::WrongIncarnation
             && refusal.verdict == RunVerdict::NotRun
-            && open.introductions < self.rules.attempt_limit;
-        if is_introduction {
-            open.introductions += 1;
+            && open.incarnation_retries < self.rules.attempt_limit;
+        if is_incarnation_retry {
+            open.incarnation_retries += 1;
             open.attempts -= 1;
             self.send(now, request, out);
             return;
         }
         open.tried.push(host.clone());
-        let kept = combine(open.last_refusal, refusal);
-        open.last_refusal = Some(kept);
+        let combined = combine(open.last_refusal, refusal);
+        open.last_refusal = Some(combined);
         let may_repeat = match (refusal.verdict, open.query.repeat) {
-            (RunVerdict::NotRun, _) => is_worth_repeating(refusal.reason),
-            (RunVerdict::MayHaveRun, RepeatRule::Repeatable) => is_worth_repeating(refusal.reason),
+            (RunVerdict::NotRun, _) => is_retryable(refusal.reason),
+            (RunVerdict::MayHaveRun, RepeatRule::Repeatable) => is_retryable(refusal.reason),
             (RunVerdict::MayHaveRun, RepeatRule::Once) | (RunVerdict::Ran, _) => false,
         };
         let is_owner_bound = matches!(open.query.target, event::RouteTarget::Owner(_));
         let limit = open.query.attempt_limit.unwrap_or(u32::MAX).min(self.rules.attempt_limit);
         let is_within = open.attempts < limit && !is_owner_bound;
         if !may_repeat || !is_within || !self.budget.take() {
-            self.finish(request, kept, out);
+            self.finish(request, combined, out);
             return;
         }
         let attempts = open.attempts;
         let draw = self.draw();
-        self.resume_after(now, request, routing::retry_pause(attempts, draw), out);
+        self.schedule_retry(now, request, routing::retry_backoff(attempts, draw), out);
     }
 
-    fn resume_after(
+    fn schedule_retry(
         &mut self,
         now: MonoTime,
         request: RequestId,
@@ -412,16 +419,16 @@
             return;
         };
         if now + pause >= open.query.deadline {
-            let refusal = late_refusal(open);
+            let refusal = deadline_refusal(open);
             self.finish(request, refusal, out);
             return;
         }
-        open.resume_at = Some(now + pause);
+        open.send_at = Some(now + pause);
     }
 
-    /// Sends attempts whose pause is over.
-    fn resume_due(&mut self, now: MonoTime, out: &mut Vec<EntryAction>) {
-        let is_due = |open: &OpenRequest| open.resume_at.is_some_and(|at| at <= now);
+    /// Sends the attempts whose backoff is over.
+    fn send_due(&mut self, now: MonoTime, out: &mut Vec<EntryAction>) {
+        let is_due = |open: &OpenRequest| open.send_at.is_some_and(|at| at <= now);
         let due = self.requests.iter().filter(|(_, open)| is_due(open));
         let due: Vec<RequestId> = due.map(|(request, _)| *request).collect();
         for request in due {
@@ -430,21 +437,21 @@
     }
 
     fn finish(&mut self, request: RequestId, refusal: WorkRefusal, out: &mut Vec<EntryAction>) {
-        self.close(request);
+        self.remove_request(request);
         out.push(EntryAction::Finish(request, refusal));
     }
 
-    fn close(&mut self, request: RequestId) {
+    fn remove_request(&mut self, request: RequestId) {
         let Some(open) = self.requests.remove(&request) else {
             return;
         };
         if let Some((attempt, host)) = open.current {
             self.attempts.remove(&attempt);
-            self.fleet.end(&host);
+            self.fleet.record_attempt_end(&host);
         }
     }
 
-    fn see_hosts(
+    fn apply_host_list(
         &mut self,
         now: MonoTime,
         records: Option<Vec<HostRecord>>,
@@ -453,21 +460,21 @@
         if let Some(records) = records {
             self.fleet.take_hosts(records);
         }
-        self.is_confirmed = true;
-        self.resume_due(now, out);
+        self.is_host_list_current = true;
+        self.send_due(now, out);
     }
 
-    /// An agent's word that it has a newer bundle is a reason to ask for it, and no more: only its
-    /// signature counts.
-    fn seek_newer(&mut self, version: BundleVersion, out: &mut Vec<EntryAction>) {
+    /// Requests the bundle if an agent reports a newer version. The report only triggers the
+    /// request: a bundle takes effect only after its signature has been verified.
+    fn request_newer_bundle(&mut self, version: BundleVersion, out: &mut Vec<EntryAction>) {
         let held = self.bundle.as_ref().map_or(0, |held| held.version);
-        if version > held.max(self.sought) {
-            self.sought = version;
+        if version > held.max(self.requested_version) {
+            self.requested_version = version;
             out.push(EntryAction::SeekBundle);
         }
     }
 
-    fn take_bundle(&mut self, bundle: Arc<FleetBundle>) {
+    fn apply_bundle(&mut self, bundle: Arc<FleetBundle>) {
         let held = self.bundle.as_ref().map_or(0, |held| held.version);
         if bundle.version >= held {
             self.bundle = Some(bundle);
@@ -475,18 +482,19 @@
     }
 }
 
-/// Attempts of a request count up from its own number, which leaves its low byte free.
+/// Derives an attempt id from the request id, shifted left by one byte, and the attempt's number in
+/// the low byte.
 fn attempt_id(request: RequestId, number: u32) -> AttemptId {
     (request << 8) | u128::from(number & 0xff)
 }
 
-/// What is told of a request that has no time left: the refusal before, if there was one.
-fn late_refusal(open: &OpenRequest) -> WorkRefusal {
+/// Returns the refusal for a request whose deadline has passed: that of its last attempt, if any.
+fn deadline_refusal(open: &OpenRequest) -> WorkRefusal {
     let late = WorkRefusal::not_run(RefusalReason::DeadlinePassed, None);
     open.last_refusal.unwrap_or(late)
 }
 
-/// The refusal to keep: once one attempt may have run, the whole request may have.
+/// Combines the refusals of two attempts: once one attempt may have run, so may the request.
 fn combine(before: Option<WorkRefusal>, refusal: WorkRefusal) -> WorkRefusal {
     match before {
         Some(before) if before.verdict == RunVerdict::MayHaveRun => before,
@@ -494,12 +502,13 @@
     }
 }
 
-/// Refusals that another upstream would repeat word for word are final.
-fn is_worth_repeating(reason: RefusalReason) -> bool {
+/// Returns whether another upstream could accept the request. Refusals that every upstream would
+/// give are final.
+fn is_retryable(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::BadRequest
         | RefusalReason::DeadlinePassed
-        // Loads are what is short, at the whole site: another engine would only load it as well.
+        // Loads are rate-limited for the whole site, and another engine would need one as well.
         | RefusalReason::DeadlineTooShort
         | RefusalReason::Withdrawn
         | RefusalReason::TicketUnknown
--- a/quillcove_core/src/entry/routing.rs
+++ b/quillcove_core/src/entry/routing.rs
@@ -1,10 +1,10 @@
-//! Choice of the upstream for one attempt.
+//! Chooses the upstream for one attempt.
 //!
-//! Rendezvous hashing sends the requests of one adapter to the same few engines, so that demand
-//! shows itself where it is served and nothing is exchanged to learn it. The load bound (after
-//! "Consistent Hashing with Bounded Loads", Mirrokni, Thorup and Zadimoghaddam, 2016) lets an
-//! adapter of high demand spill to the next engine in its own rank order, which therefore is the
-//! same for all entries.
+//! Rendezvous hashing sends the requests for one adapter to the same few engines, so that their
+//! agents see the demand for it and entries need not exchange it. The load bound (after "Consistent
+//! Hashing with Bounded Loads", Mirrokni, Thorup and Zadimoghaddam, 2016) makes an adapter of high
+//! demand spill over to the next engine in the adapter's own rank order, which is the same for all
+//! entries.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::ids::{HostId, MonoTime};
 use crate::rendezvous;
 
-/// Chooses among candidates; those already tried come last.
+/// Chooses one of the candidates. Hosts in `tried` are chosen only if there are no others.
 ///
 /// ```
 /// use std::time::Duration;
@@ -31,33 +31,34 @@
     rules: &EntryRules,
     draw: u64,
 ) -> Option<HostId> {
-    let is_fresh = |upstream: &&&UpstreamView| !tried.contains(&upstream.record.host);
-    let mut pool: Vec<&UpstreamView> = candidates.iter().filter(is_fresh).copied().collect();
+    let is_untried = |upstream: &&&UpstreamView| !tried.contains(&upstream.record.host);
+    let mut pool: Vec<&UpstreamView> = candidates.iter().filter(is_untried).copied().collect();
     if pool.is_empty() {
         pool = candidates.to_vec();
     }
     let chosen = match (target, rules.route) {
         (RouteTarget::Owner(_), _) => pool.first().copied(),
         (RouteTarget::Service(_), _) => least_loaded(&pool, now, rules, draw),
-        (_, RouteRule::Random) => pick(&pool, draw),
+        (_, RouteRule::Random) => choose_random(&pool, draw),
         (_, RouteRule::LeastLoaded) => least_loaded(&pool, now, rules, draw),
         (RouteTarget::Adapter { adapter, .. }, rule) => {
             let bound = match rule {
                 RouteRule::BoundedRendezvous => load_bound(&pool, now, rules),
                 _ => f64::INFINITY,
             };
-            ranked(&pool, &adapter.to_string(), now, rules, bound)
+            first_within_bound(&pool, &adapter.to_string(), now, rules, bound)
         },
     };
     chosen.map(|upstream| upstream.record.host.clone())
 }
 
-fn pick<'a>(pool: &[&'a UpstreamView], draw: u64) -> Option<&'a UpstreamView> {
-    let place = draw.checked_rem(pool.len() as u64)?;
-    pool.get(place as usize).copied()
+fn choose_random<'a>(pool: &[&'a UpstreamView], draw: u64) -> Option<&'a UpstreamView> {
+    let index = draw.checked_rem(pool.len() as u64)?;
+    pool.get(index as usize).copied()
 }
 
-/// The least loaded one, near halls first; equals are told apart by the draw.
+/// Returns the upstream with the lowest load, where far ones count as one request more. Ties are
+/// broken at random by `draw`.
 fn least_loaded<'a>(
     pool: &[&'a UpstreamView],
     now: MonoTime,
@@ -78,17 +79,19 @@
     })
 }
 
-/// Load beyond which the next in rank is taken. It never is below one batch's worth of places,
-/// because a spill costs a load while there is room.
+/// Returns the load from which the next upstream in rank is chosen. It is at least the capacity of
+/// one batch, because another engine would have to load the adapter although the first still has
+/// free batch slots.
 fn load_bound(pool: &[&UpstreamView], now: MonoTime, rules: &EntryRules) -> f64 {
     let total: f64 = pool.iter().map(|upstream| upstream.load(now, rules.slow_start)).sum();
-    let places = pool.iter().map(|upstream| upstream.capacity).max().unwrap_or(0);
+    let largest_capacity = pool.iter().map(|upstream| upstream.capacity).max().unwrap_or(0);
     let mean = (total + 1.0) / pool.len().max(1) as f64;
-    (mean * rules.load_bound).max(places as f64).max(1.0)
+    (mean * rules.load_bound).max(largest_capacity as f64).max(1.0)
 }
 
-/// The first in rank whose load is within the bound, or the least loaded when none is.
-fn ranked<'a>(
+/// Returns the highest-ranked upstream whose load is below the bound, or the one with the lowest
+/// load if there is none.
+fn first_within_bound<'a>(
     pool: &[&'a UpstreamView],
     key: &str,
     now: MonoTime,
@@ -102,22 +105,23 @@
     within.or_else(|| ranked.into_iter().min_by(|a, b| load(a).total_cmp(&load(b))))
 }
 
-/// Rank from 0 to 1, less the penalty of another hall.
+/// Returns the rank from 0 to 1, reduced by the penalty for a far host.
 fn rank_of(upstream: &UpstreamView, key: &str, rules: &EntryRules) -> f64 {
     let weight = rendezvous::weight(key, &upstream.record.host) as f64 / u64::MAX as f64;
     let is_far = upstream.record.hall != rules.hall;
     weight - if is_far { rules.far_penalty } else { 0.0 }
 }
 
-/// Pause before a repeat: a draw between nothing and a bound that doubles with each attempt.
+/// Returns the backoff before a retry: a random time between zero and a bound that starts at 10 ms
+/// and doubles with each attempt up to 640 ms.
 ///
 /// ```
 /// use std::time::Duration;
-/// use quillcove_core::entry::routing::retry_pause;
+/// use quillcove_core::entry::routing::retry_backoff;
 ///
-/// assert!(retry_pause(1, u64::MAX) <= Duration::from_millis(10));
+/// assert!(retry_backoff(1, u64::MAX) <= Duration::from_millis(10));
 /// ```
-pub fn retry_pause(attempts: u32, draw: u64) -> Duration {
+pub fn retry_backoff(attempts: u32, draw: u64) -> Duration {
     const FIRST_BOUND: Duration = Duration::from_millis(10);
     let bound = FIRST_BOUND * 2u32.saturating_pow(attempts.saturating_sub(1).min(6));
     bound.mul_f64(draw as f64 / u64::MAX as f64)
