--- a/quillcove_core/src/once/book.rs
+++ b/quillcove_core/src/once/book.rs
@@ -1,4 +1,4 @@
-//! What became of each request that must run at most once, kept by its owner.
+//! Record of the runs of requests that must run at most once, held by the agent that owns them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,44 +9,45 @@
 use crate::ids::{CallerId, HostId, Incarnation, MonoTime};
 use crate::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
 
-/// Names one run that must not happen twice.
+/// Identifies a run that must happen at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum OnceKey {
-    /// A ticket of this run of the agent, by its serial number.
+    /// Serial number of a ticket that this process start of the agent issued.
     Serial(u64),
-    /// A caller's own key, given without a ticket.
+    /// Idempotency key chosen by a caller, used without a ticket.
     Named(CallerId, String),
 }
 
-/// How a caller names its run.
+/// What a caller presents to claim its run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OnceClaim {
-    /// With a ticket's text.
+    /// Encoded ticket.
     Ticket(String),
-    /// With a key of its own.
+    /// Idempotency key chosen by the caller.
     Key(CallerId, String),
 }
 
-/// State of one run.
+/// State of a claimed run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OnceState {
-    /// It was handed to the service, or waits for it.
+    /// The request waits for the service or was sent to it.
     Underway,
-    /// The service answered; the number is the status of its answer.
+    /// The service responded, with this HTTP status.
     Ran(u16),
-    /// The service's answer was lost.
+    /// The service's response was lost.
     Uncertain,
 }
 
-/// Sizes and lifetimes of the book.
+/// Size and lifetimes of an [`OnceBook`].
 #[derive(Clone, Copy, Debug)]
 pub struct BookLimits {
-    /// How long a ticket may be used.
+    /// Validity of a ticket.
     pub ticket_lifetime: Duration,
-    /// How long a key without a ticket is remembered.
+    /// Time for which a key without a ticket is kept.
     pub key_lifetime: Duration,
-    /// Most entries; beyond them new claims are refused and nothing is forgotten early.
+    /// Maximum number of entries. At the limit, new claims are rejected; no entry is evicted before it
+    /// expires.
     pub entries: usize,
 }
 
@@ -66,7 +67,7 @@
     expires: MonoTime,
 }
 
-/// The owner's record of runs.
+/// Runs claimed at one agent.
 #[derive(Clone, Debug)]
 pub struct OnceBook {
     host: HostId,
@@ -77,12 +78,12 @@
     runs: BTreeMap<OnceKey, OnceRun>,
     expiries: BTreeMap<(MonoTime, u64), OnceKey>,
     next_expiry: u64,
-    keys_sure_from: MonoTime,
+    keys_certain_from: MonoTime,
 }
 
 impl OnceBook {
-    /// An empty book. Keys without a ticket are refused until the lifetime of a key has passed,
-    /// because an earlier run of the agent may have run them.
+    /// Creates an empty book. Keys without a ticket are rejected until the lifetime of a key has
+    /// passed, because they may have run before the agent restarted.
     ///
     /// ```
     /// use std::time::Duration;
@@ -109,11 +110,11 @@
             runs: BTreeMap::new(),
             expiries: BTreeMap::new(),
             next_expiry: 0,
-            keys_sure_from: now + limits.key_lifetime,
+            keys_certain_from: now + limits.key_lifetime,
         }
     }
 
-    /// Issues a ticket.
+    /// Issues a ticket and returns its encoded form.
     ///
     /// ```
     /// use std::time::Duration;
@@ -130,10 +131,11 @@
             expires: now + self.limits.ticket_lifetime,
         };
         self.next_serial += 1;
-        ticket.seal(&self.secret)
+        ticket.encode(&self.secret)
     }
 
-    /// Doubts all keys again, because the bundle divided them anew among the replicas.
+    /// Rejects new keys until the lifetime of a key has passed, because a new bundle reassigned keys
+    /// to replicas and another replica may have run them.
     ///
     /// ```
     /// use std::time::Duration;
@@ -145,15 +147,15 @@
     /// assert!(book.claim(later, &OnceClaim::Key("app".into(), "k".into())).is_err());
     /// ```
     pub fn doubt_keys(&mut self, now: MonoTime) {
-        self.keys_sure_from = now + self.limits.key_lifetime;
+        self.keys_certain_from = now + self.limits.key_lifetime;
     }
 
-    /// Claims the right to run. It is given once; [`OnceBook::settle`] may give it back when the
-    /// run certainly did not happen.
+    /// Claims a run. A run can be claimed once, and again only after [`OnceBook::settle`] has recorded
+    /// that it certainly did not happen.
     ///
     /// # Errors
     ///
-    /// A refusal whose verdict says what became of the first claim.
+    /// Returns a refusal whose verdict tells the outcome of the first claim.
     ///
     /// ```
     /// use std::time::Duration;
@@ -164,37 +166,41 @@
     /// assert!(book.claim(Duration::ZERO, &stranger).is_err());
     /// ```
     pub fn claim(&mut self, now: MonoTime, claim: &OnceClaim) -> Result<OnceKey, WorkRefusal> {
-        self.forget_expired(now);
-        let (key, expires) = self.locate(now, claim)?;
+        self.remove_expired(now);
+        let (key, expires) = self.resolve_claim(now, claim)?;
         if let Some(run) = self.runs.get(&key) {
-            return Err(refusal_of(run.state));
+            return Err(refusal_for(run.state));
         }
         if self.runs.len() >= self.limits.entries {
             return Err(WorkRefusal::overloaded());
         }
-        self.record(key.clone(), OnceRun { state: OnceState::Underway, expires });
+        self.insert_run(key.clone(), OnceRun { state: OnceState::Underway, expires });
         Ok(key)
     }
 
-    fn record(&mut self, key: OnceKey, run: OnceRun) {
+    fn insert_run(&mut self, key: OnceKey, run: OnceRun) {
         self.expiries.insert((run.expires, self.next_expiry), key.clone());
         self.next_expiry += 1;
         self.runs.insert(key, run);
     }
 
-    fn locate(&self, now: MonoTime, claim: &OnceClaim) -> Result<(OnceKey, MonoTime), WorkRefusal> {
+    fn resolve_claim(
+        &self,
+        now: MonoTime,
+        claim: &OnceClaim,
+    ) -> Result<(OnceKey, MonoTime), WorkRefusal> {
         match claim {
             OnceClaim::Ticket(text) => {
-                let ticket = self.open(now, text)?;
+                let ticket = self.verify_ticket(now, text)?;
                 Ok((OnceKey::Serial(ticket.serial), ticket.expires))
             },
             OnceClaim::Key(caller, name) => {
                 let key = OnceKey::Named(caller.clone(), name.clone());
-                if now < self.keys_sure_from && !self.runs.contains_key(&key) {
+                if now < self.keys_certain_from && !self.runs.contains_key(&key) {
                     return Err(WorkRefusal {
                         reason: RefusalReason::KeyUncertain,
                         verdict: RunVerdict::MayHaveRun,
-                        retry_after: Some(self.keys_sure_from - now),
+                        retry_after: Some(self.keys_certain_from - now),
                     });
                 }
                 Ok((key, now + self.limits.key_lifetime))
@@ -202,20 +208,22 @@
         }
     }
 
-    /// A ticket of another run of the agent may have been used there, and a ticket that expired
-    /// may have been used before its record went: both leave the verdict open.
-    fn open(&self, now: MonoTime, text: &str) -> Result<RunTicket, WorkRefusal> {
+    /// Decodes and verifies a ticket. A ticket from another process start of the agent may have been
+    /// used there, and an expired ticket may have been used before its record was removed, so the
+    /// refusal of both says that the request may have run.
+    fn verify_ticket(&self, now: MonoTime, text: &str) -> Result<RunTicket, WorkRefusal> {
         let unknown = WorkRefusal::may_have_run(RefusalReason::TicketUnknown);
-        let ticket = RunTicket::open(text, &self.secret).ok_or(unknown)?;
-        let own = ticket.owner == self.host && ticket.incarnation == self.incarnation;
-        match own && now < ticket.expires {
+        let ticket = RunTicket::decode(text, &self.secret).ok_or(unknown)?;
+        let is_own = ticket.owner == self.host && ticket.incarnation == self.incarnation;
+        match is_own && now < ticket.expires {
             true => Ok(ticket),
             false => Err(unknown),
         }
     }
 
-    /// Records what became of a claimed run. Only a run that certainly did not happen gives the
-    /// right back. A key's lifetime counts from here, so that a slow run is not forgotten early.
+    /// Records the outcome of a claimed run. `None` means that it certainly did not happen, and
+    /// allows another claim. The lifetime of a key starts here, so that the record of a slow run is
+    /// kept for the full lifetime.
     ///
     /// ```
     /// use std::time::Duration;
@@ -236,14 +244,14 @@
             OnceKey::Serial(_) => run.expires.max(now),
             OnceKey::Named(..) => now + self.limits.key_lifetime,
         };
-        self.record(key.clone(), OnceRun { state, expires });
+        self.insert_run(key.clone(), OnceRun { state, expires });
     }
 
-    /// What became of a ticket; `None` for one that was not used yet.
+    /// Returns the state of a ticket's run, or `None` if the ticket has not been used yet.
     ///
     /// # Errors
     ///
-    /// A refusal for a ticket that is not this run's or has expired.
+    /// Returns a refusal if the ticket was not issued by this process start or has expired.
     ///
     /// ```
     /// use std::time::Duration;
@@ -254,11 +262,11 @@
     /// assert_eq!(book.state_of(Duration::ZERO, &ticket), Ok(None));
     /// ```
     pub fn state_of(&self, now: MonoTime, text: &str) -> Result<Option<OnceState>, WorkRefusal> {
-        let ticket = self.open(now, text)?;
+        let ticket = self.verify_ticket(now, text)?;
         Ok(self.runs.get(&OnceKey::Serial(ticket.serial)).map(|run| run.state))
     }
 
-    /// Number of runs on record.
+    /// Returns the number of recorded runs.
     ///
     /// ```
     /// use std::time::Duration;
@@ -271,23 +279,23 @@
         self.runs.len()
     }
 
-    /// Drops what has expired. A run underway stays until it is settled, and a key whose record
-    /// was renewed stays until the renewed expiry.
-    fn forget_expired(&mut self, now: MonoTime) {
+    /// Removes expired runs. A run underway is kept until its outcome is recorded, and a key with a
+    /// renewed record until its new expiry.
+    fn remove_expired(&mut self, now: MonoTime) {
         while let Some(entry) = self.expiries.first_entry() {
             if entry.key().0 > now {
                 return;
             }
             let key = entry.remove();
-            let over = |run: &OnceRun| run.state != OnceState::Underway && run.expires <= now;
-            if self.runs.get(&key).is_some_and(over) {
+            let is_expired = |run: &OnceRun| run.state != OnceState::Underway && run.expires <= now;
+            if self.runs.get(&key).is_some_and(is_expired) {
                 self.runs.remove(&key);
             }
         }
     }
 }
 
-fn refusal_of(state: OnceState) -> WorkRefusal {
+fn refusal_for(state: OnceState) -> WorkRefusal {
     let verdict = match state {
         OnceState::Ran(_) => RunVerdict::Ran,
         OnceState::Underway | OnceState::Uncertain => RunVerdict::MayHaveRun,
--- a/quillcove_core/src/once/ticket.rs
+++ b/quillcove_core/src/once/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets: the right to run one request once, at the agent that issued it.
+//! Tickets: authenticated tokens that allow one request to run once, at the agent that issued them.
 
 use std::time::Duration;
 
@@ -8,30 +8,30 @@
 use crate::adapter::is_valid_name;
 use crate::ids::{HostId, Incarnation, MonoTime};
 
-/// Bytes of the authentication code that a ticket carries.
+/// Length of the truncated HMAC-SHA256 in a ticket, in bytes.
 const CODE_BYTES: usize = 16;
 
-/// Separates the fields of a ticket; not allowed in host names.
+/// Separator of a ticket's fields; not allowed in host names.
 const FIELD_MARK: char = '~';
 
-/// Secret of one run of an agent; a new one is drawn at each start and never leaves the process.
+/// HMAC key of an agent, generated at each process start. It never leaves the process.
 pub type TicketSecret = [u8; 32];
 
-/// A ticket's content.
+/// Decoded ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RunTicket {
     /// Host of the agent that issued it.
     pub owner: HostId,
-    /// The run of the agent that issued it.
+    /// Incarnation of that agent.
     pub incarnation: Incarnation,
-    /// Number of the ticket within that run.
+    /// Serial number of the ticket within that process start.
     pub serial: u64,
-    /// Time on the owner's clock after which it is refused.
+    /// Expiry on the owner's monotonic clock.
     pub expires: MonoTime,
 }
 
 impl RunTicket {
-    /// Writes the ticket with its authentication code.
+    /// Encodes the ticket with its authentication code.
     ///
     /// ```
     /// use std::time::Duration;
@@ -43,24 +43,24 @@
     ///     serial: 1,
     ///     expires: Duration::from_secs(60),
     /// };
-    /// let text = ticket.seal(&[7; 32]);
-    /// assert_eq!(RunTicket::open(&text, &[7; 32]), Some(ticket));
-    /// assert_eq!(RunTicket::open(&text, &[8; 32]), None);
+    /// let text = ticket.encode(&[7; 32]);
+    /// assert_eq!(RunTicket::decode(&text, &[7; 32]), Some(ticket));
+    /// assert_eq!(RunTicket::decode(&text, &[8; 32]), None);
     /// ```
-    pub fn seal(&self, secret: &TicketSecret) -> String {
+    pub fn encode(&self, secret: &TicketSecret) -> String {
         let fields = self.fields();
-        let code = hex::encode(code(&fields, secret));
+        let code = hex::encode(authentication_code(&fields, secret));
         format!("{fields}{FIELD_MARK}{code}")
     }
 
-    /// Reads a ticket and checks its authentication code.
+    /// Decodes a ticket and verifies its authentication code. Returns `None` if either fails.
     ///
     /// ```
     /// use quillcove_core::once::ticket::RunTicket;
     ///
-    /// assert_eq!(RunTicket::open("nonsense", &[7; 32]), None);
+    /// assert_eq!(RunTicket::decode("nonsense", &[7; 32]), None);
     /// ```
-    pub fn open(text: &str, secret: &TicketSecret) -> Option<Self> {
+    pub fn decode(text: &str, secret: &TicketSecret) -> Option<Self> {
         let (fields, given) = text.rsplit_once(FIELD_MARK)?;
         let given = hex::decode(given).ok()?;
         if given.len() != CODE_BYTES {
@@ -70,7 +70,7 @@
         Self::read_fields(fields)
     }
 
-    /// Reads a ticket without checking it, to find its owner. The owner checks.
+    /// Decodes a ticket without verifying it, to find its owner. The owner verifies it.
     ///
     /// ```
     /// use quillcove_core::once::ticket::RunTicket;
@@ -107,6 +107,6 @@
     mac
 }
 
-fn code(fields: &str, secret: &TicketSecret) -> Vec<u8> {
+fn authentication_code(fields: &str, secret: &TicketSecret) -> Vec<u8> {
     mac(fields, secret).finalize().into_bytes()[..CODE_BYTES].to_vec()
 }
