--- a/quillcove_core/src/permit.rs
+++ b/quillcove_core/src/permit.rs
@@ -1,8 +1,8 @@
-//! Sharing the weight store's rate between agents.
+//! Permits that divide the weight store's load rate among agents.
 //!
-//! One agent of a site keeps the permits, chosen by rendezvous hashing among the live ones. Its
-//! state is soft: when it is lost, the next one starts with a full allowance; when two keep
-//! permits at the same time, loads are slower for a while. Neither touches safety.
+//! One agent of a site grants the permits; it is chosen by rendezvous hashing among the live agents.
+//! Its state is soft: when it is lost, the next agent starts with a full allowance, and when two
+//! agents grant permits at the same time, loads are slower for a while. Neither affects safety.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,54 +12,54 @@
 use crate::bundle::LoadLimits;
 use crate::ids::{HostId, MonoTime};
 
-/// Key under which the keeper of a site is chosen.
+/// Rendezvous hashing key that chooses the agent which grants permits at a site.
 pub const KEEPER_KEY: &str = "load-permits";
 
-/// How soon an agent asks again when few do.
-const ASK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval between two requests of a waiting agent.
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks a second that the keeper takes from all agents together, however many they are.
-const ASK_RATE: f64 = 50.0;
+/// Maximum rate of permit requests from all agents together, in requests per second.
+const MAX_REQUEST_RATE: f64 = 50.0;
 
-/// Intervals for which an ask counts while its agent does not repeat it.
-const ASK_INTERVALS_KEPT: u32 = 4;
+/// Lifetime of a request that its agent does not repeat, in request intervals.
+const REQUEST_LIFETIME_INTERVALS: u32 = 4;
 
-/// Longest that a permit counts when its agent does not return it.
+/// Lifetime of a permit that its agent does not return.
 const PERMIT_LIFETIME: Duration = Duration::from_secs(20);
 
-/// Loads that may start at once after a pause, in permits.
-const BURST: f64 = 1.0;
+/// Permits that may be granted at once after an idle time; higher rates allow more.
+const MIN_BURST: f64 = 1.0;
 
-/// An agent's wish to load an adapter.
+/// Request of an agent for a permit to load an adapter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitAsk {
     /// Host of the agent.
     pub host: HostId,
-    /// Value of the load; a higher one goes first.
+    /// Value of the load; higher values are granted first.
     pub value: f64,
 }
 
-/// The keeper's answer.
+/// Response to a [`PermitAsk`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PermitAnswer {
     /// The agent may start one load.
     Granted,
-    /// The agent asks again after this time.
+    /// The agent is to repeat the request after this time.
     Wait(Duration),
 }
 
-/// Grants permits by value.
+/// Grants permits in order of value, within a rate and a concurrency limit.
 #[derive(Debug)]
 pub struct PermitKeeper {
     limits: LoadLimits,
     allowance: f64,
     refilled: MonoTime,
-    asks: BTreeMap<HostId, (f64, MonoTime)>,
+    requests: BTreeMap<HostId, (f64, MonoTime)>,
     granted: BTreeMap<HostId, MonoTime>,
 }
 
 impl PermitKeeper {
-    /// A keeper with a full allowance.
+    /// Creates a keeper with a full allowance.
     ///
     /// ```
     /// use std::time::Duration;
@@ -73,14 +73,14 @@
     pub fn new(limits: LoadLimits, now: MonoTime) -> Self {
         Self {
             limits,
-            allowance: BURST,
+            allowance: MIN_BURST,
             refilled: now,
-            asks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             granted: BTreeMap::new(),
         }
     }
 
-    /// Takes new limits from a bundle.
+    /// Applies the limits of a new bundle.
     ///
     /// ```
     /// use std::time::Duration;
@@ -94,8 +94,8 @@
         self.limits = limits;
     }
 
-    /// Answers an ask. The permits free now go to the asks of highest value among those that
-    /// were repeated lately, so an agent that can not be reached holds nobody up.
+    /// Responds to a request. Free permits go to the requests of highest value. A request that has
+    /// not been repeated recently has expired, so an unreachable agent does not block others.
     ///
     /// ```
     /// use std::time::Duration;
@@ -110,22 +110,22 @@
     /// ```
     pub fn ask(&mut self, now: MonoTime, ask: &PermitAsk) -> PermitAnswer {
         self.refill(now);
-        let lifetime = self.ask_interval() * ASK_INTERVALS_KEPT;
-        self.asks.retain(|_, (_, heard)| now.saturating_sub(*heard) < lifetime);
+        let lifetime = self.request_interval() * REQUEST_LIFETIME_INTERVALS;
+        self.requests.retain(|_, (_, received)| now.saturating_sub(*received) < lifetime);
         self.granted.retain(|_, since| now.saturating_sub(*since) < PERMIT_LIFETIME);
         self.granted.remove(&ask.host);
-        self.asks.insert(ask.host.clone(), (ask.value, now));
-        let ahead = self.asks.values().filter(|(value, _)| *value > ask.value).count();
+        self.requests.insert(ask.host.clone(), (ask.value, now));
+        let ahead = self.requests.values().filter(|(value, _)| *value > ask.value).count();
         if ahead >= self.free_permits() {
-            return PermitAnswer::Wait(self.ask_interval());
+            return PermitAnswer::Wait(self.request_interval());
         }
         self.allowance -= 1.0;
-        self.asks.remove(&ask.host);
+        self.requests.remove(&ask.host);
         self.granted.insert(ask.host.clone(), now);
         PermitAnswer::Granted
     }
 
-    /// Takes a permit back after the load ended.
+    /// Releases the permit of an agent after its load has ended.
     ///
     /// ```
     /// use std::time::Duration;
@@ -134,14 +134,15 @@
     ///
     /// let mut keeper = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
     /// keeper.give_back("e1");
-    /// assert_eq!(keeper.out(), 0);
+    /// assert_eq!(keeper.permit_count(), 0);
     /// ```
     pub fn give_back(&mut self, host: &str) {
         self.granted.remove(host);
-        self.asks.remove(host);
+        self.requests.remove(host);
     }
 
-    /// Tells whether so many agents ask that each has to keep to the keeper's pace.
+    /// Returns whether so many agents request permits that each has to wait for the request interval,
+    /// which then exceeds one second.
     ///
     /// ```
     /// use std::time::Duration;
@@ -151,30 +152,32 @@
     /// assert!(!PermitKeeper::new(LoadLimits::default(), Duration::ZERO).is_crowded());
     /// ```
     pub fn is_crowded(&self) -> bool {
-        self.asks.len() as f64 > ASK_RATE
+        self.requests.len() as f64 > MAX_REQUEST_RATE
     }
 
-    /// Number of permits that agents hold.
+    /// Returns the number of permits held by agents.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
     /// use quillcove_core::permit::PermitKeeper;
     ///
-    /// assert_eq!(PermitKeeper::new(LoadLimits::default(), Duration::ZERO).out(), 0);
+    /// assert_eq!(PermitKeeper::new(LoadLimits::default(), Duration::ZERO).permit_count(), 0);
     /// ```
-    pub fn out(&self) -> usize {
+    pub fn permit_count(&self) -> usize {
         self.granted.len()
     }
 
-    /// Time until an agent asks again; grows with the number of agents that ask.
-    fn ask_interval(&self) -> Duration {
-        Duration::from_secs_f64(self.asks.len() as f64 / ASK_RATE).max(ASK_INTERVAL)
+    /// Returns the time until a waiting agent repeats its request; increases with the number of waiting
+    /// agents.
+    fn request_interval(&self) -> Duration {
+        Duration::from_secs_f64(self.requests.len() as f64 / MAX_REQUEST_RATE)
+            .max(MIN_REQUEST_INTERVAL)
     }
 
     fn refill(&mut self, now: MonoTime) {
-        let gained = now.saturating_sub(self.refilled).as_secs_f64() * self.limits.per_second;
-        self.allowance = (self.allowance + gained).min(BURST.max(self.limits.per_second / 2.0));
+        let added = now.saturating_sub(self.refilled).as_secs_f64() * self.limits.per_second;
+        self.allowance = (self.allowance + added).min(MIN_BURST.max(self.limits.per_second / 2.0));
         self.refilled = now;
     }
 
