--- a/quillcove_core/src/rendezvous.rs
+++ b/quillcove_core/src/rendezvous.rs
@@ -1,11 +1,11 @@
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): all processes that know the same hosts
-//! rank them alike for a key, with no exchange between them.
+//! Rendezvous hashing (Thaler and Ravishankar, 1998): all processes that know the same hosts rank
+//! them in the same order for a key, without exchanging messages.
 
 use std::hash::{Hash, Hasher};
 
 use siphasher::sip::SipHasher13;
 
-/// Rank of one host for one key; higher goes first.
+/// Returns the weight of a host for a key; hosts rank by descending weight.
 ///
 /// ```
 /// use quillcove_core::rendezvous::weight;
@@ -20,7 +20,7 @@
     hasher.finish()
 }
 
-/// The host that ranks highest for a key; `None` when there are no hosts.
+/// Returns the highest-ranked host for a key, or `None` if there are no hosts.
 ///
 /// ```
 /// use quillcove_core::rendezvous::first;
--- a/quillcove_core/src/route.rs
+++ b/quillcove_core/src/route.rs
@@ -1,4 +1,5 @@
-//! Routes: which service takes the requests of a host and path, and what may be done with them.
+//! Routes map the host and path of a request to a service and define whether the request may be
+//! retried.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,21 +10,21 @@
 use crate::class::WorkClass;
 use crate::ids::ServiceName;
 
-/// What may be done with a request of a route.
+/// Whether a route's requests may run more than once, and whether the response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Safe,
-    /// Runs at most once for each request id.
+    /// A request runs at most once for each request id.
     Unsafe,
-    /// Answered with events; runs at most once.
+    /// The response is an event stream; a request runs at most once.
     Stream,
-    /// Answered with events; another replica may go on after a given event.
+    /// The response is an event stream, which another replica can resume after a given event.
     ResumableStream,
 }
 
 impl RouteKind {
-    /// Tells whether a request may be sent again after it may have run.
+    /// Returns whether a request may be retried after it may have run.
     ///
     /// ```
     /// use quillcove_core::route::RouteKind;
@@ -35,7 +36,7 @@
         matches!(self, Self::Safe | Self::ResumableStream)
     }
 
-    /// Tells whether the answer is a series of events.
+    /// Returns whether the response is an event stream.
     ///
     /// ```
     /// use quillcove_core::route::RouteKind;
@@ -47,44 +48,45 @@
     }
 }
 
-/// A service that a route leads to, with its share of the route's requests.
+/// Service that a route targets, with its share of the route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteShare {
     /// Name of the service.
     pub service: ServiceName,
-    /// Share relative to the other targets.
+    /// Weight relative to the other targets.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteRecord {
-    /// Name, for logs.
+    /// Name of the route, for logs.
     pub name: String,
-    /// Host that requests name, in lower case.
+    /// Host name of the matching requests, in lower case.
     pub host: String,
-    /// Start of the paths; begins and ends with a slash.
+    /// Prefix of the matching paths; starts and ends with a slash.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// Whether its requests may run more than once.
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time within which an answer begins to be of full use.
+    /// Target latency: a response that starts within this time is of full value.
     pub aim: Duration,
-    /// Silence after which callers of a stream leave, when they do so before its timeout.
+    /// Abandon timeout: silence after which callers of a stream disconnect, if shorter than the
+    /// timeout.
     pub patience: Option<Duration>,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Most replicas that one request is sent to.
+    /// Maximum number of replicas that one request is sent to.
     pub attempt_limit: u32,
-    /// Whether its requests need no key where there are workspaces.
+    /// Whether its requests need no key where workspaces are configured.
     pub is_public: bool,
-    /// Services, with their shares.
+    /// Services with their weights.
     pub targets: Vec<RouteShare>,
 }
 
 impl RouteRecord {
-    /// Class of its requests, by its rank.
+    /// Returns the work class that corresponds to the priority.
     ///
     /// ```
     /// use std::time::Duration;
@@ -114,7 +116,8 @@
         }
     }
 
-    /// Draws the service of a request by the route's weights; `None` when all weights are 0.
+    /// Chooses the service of a request by the targets' weights and a random number. Returns `None` if
+    /// all weights are 0.
     ///
     /// ```
     /// use std::time::Duration;
@@ -139,27 +142,27 @@
     /// ```
     pub fn draw_service(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
-        let mut place = draw.checked_rem(total)?;
+        let mut offset = draw.checked_rem(total)?;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if place < weight {
+            if offset < weight {
                 return Some(&target.service);
             }
-            place -= weight;
+            offset -= weight;
         }
         None
     }
 }
 
-/// Routes by host and path.
+/// Lookup table of routes by host and path.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteTable {
-    /// Routes by host, the longest prefix first.
+    /// Routes by host, in descending order of prefix length.
     hosts: HashMap<String, Vec<Arc<RouteRecord>>>,
 }
 
 impl RouteTable {
-    /// A table of these routes.
+    /// Creates a table of the given routes.
     ///
     /// ```
     /// use quillcove_core::route::RouteTable;
@@ -177,8 +180,8 @@
         Self { hosts }
     }
 
-    /// The route of a host, with or without a port, and path: the one with the longest prefix that
-    /// begins the path.
+    /// Returns the route for a host and a path: of the host's routes, the one with the longest prefix
+    /// of the path. The host may include a port and matches in any letter case.
     ///
     /// ```
     /// use quillcove_core::route::RouteTable;
@@ -194,7 +197,7 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Number of routes.
+    /// Returns the number of routes.
     ///
     /// ```
     /// use quillcove_core::route::RouteTable;
@@ -205,7 +208,7 @@
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// Tells whether there are no routes.
+    /// Returns whether there are no routes.
     ///
     /// ```
     /// use quillcove_core::route::RouteTable;
@@ -216,7 +219,7 @@
         self.hosts.is_empty()
     }
 
-    /// All routes, in no order.
+    /// Iterates over all routes in arbitrary order.
     ///
     /// ```
     /// use quillcove_core::route::RouteTable;
--- a/quillcove_core/src/verdict.rs
+++ b/quillcove_core/src/verdict.rs
@@ -1,26 +1,27 @@
-//! Verdicts: whether a request may have run.
+//! Verdicts on whether a request may have run, and the reasons of refusals.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// When to come back after a refusal that will soon be over.
+/// Retry time sent with a refusal whose cause is expected to end soon.
 pub const SOON: Duration = Duration::from_secs(1);
 
-/// What is known of a request when its answer or its error goes to the caller.
+/// Whether a request has run, as far as known when its response or error is sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunVerdict {
-    /// The upstream ran it and its whole answer was received.
+    /// The upstream ran it and its complete response was received.
     Ran,
-    /// It never ran and never will: it did not leave, or the agent said so and left a mark.
+    /// It has not run and will not run: it was never sent, or the agent confirmed that it rejects the
+    /// attempt, even if it arrives later.
     NotRun,
-    /// Nothing certain is known; it must not be repeated unless it is repeatable.
+    /// It is unknown whether it ran. It must not be retried unless it may run more than once.
     MayHaveRun,
 }
 
 impl RunVerdict {
-    /// The word used in the `Quillcove-Verdict` header.
+    /// Returns the label used in the `Quillcove-Verdict` header.
     ///
     /// ```
     /// use quillcove_core::verdict::RunVerdict;
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Reads the header's word back.
+    /// Parses the label of the header; `None` if it is unknown.
     ///
     /// ```
     /// use quillcove_core::verdict::RunVerdict;
@@ -47,56 +48,58 @@
     }
 }
 
-/// Why a request was refused or given up.
+/// Why a request was rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The request itself is malformed.
+    /// The request is malformed.
     BadRequest,
     /// The bundle has no such adapter, version or service.
     Unknown,
     /// No bundle is in force yet, or a newer one is known to exist.
     BundleMissing,
-    /// No upstream that could take it is left.
+    /// No upstream is available for it.
     NoUpstream,
-    /// Queues are full.
+    /// A queue or table is full, or no upstream takes the request at the moment because of requested
+    /// pauses or rate limits.
     Overloaded,
     /// The expected wait is longer than the deadline allows.
     DeadlineTooShort,
     /// The deadline passed while the request waited.
     DeadlinePassed,
-    /// The process is stopping or its host is leaving.
+    /// The process is stopping or its host is draining.
     Leaving,
-    /// The request was meant for an earlier run of the agent.
+    /// The attempt was addressed to another incarnation of the agent.
     WrongIncarnation,
-    /// The entry withdrew the attempt before it began.
+    /// The entry withdrew the attempt before it started.
     Withdrawn,
     /// The same attempt arrived a second time.
     Duplicate,
-    /// The engine did not load the adapter.
+    /// The engine failed to load the adapter.
     LoadFailed,
-    /// The upstream does not answer.
+    /// The upstream does not respond.
     UpstreamDown,
-    /// The upstream's answer broke off.
+    /// The upstream's response ended prematurely.
     UpstreamBroke,
-    /// The ticket is not one that this agent issued, or it has expired.
+    /// The ticket was not issued by this process start of the agent, or it has expired.
     TicketUnknown,
     /// The ticket or key was used before.
     AlreadyUsed,
-    /// The agent restarted lately and can not tell whether the key was used before.
+    /// The agent cannot know whether the key was used before, because it restarted or a new bundle
+    /// reassigned keys within the lifetime of a key.
     KeyUncertain,
-    /// The request needs a workspace's key and has none that is valid.
+    /// The request needs a workspace's key and has no valid one.
     KeyUnknown,
-    /// What is known of workspaces' keys is too old to let a request in by its key.
+    /// The stored workspace keys are too old to authorize a request.
     KnowledgeOld,
-    /// The request's workspace has used what it may.
+    /// The quota of the request's workspace is exhausted.
     LimitReached,
-    /// Upstreams end when they begin to run the request.
+    /// The request is fatal: upstreams exit under it.
     EndsUpstreams,
 }
 
 impl RefusalReason {
-    /// The word used as `code` in error bodies and as a metric label.
+    /// Returns the label used as `code` in error bodies and in metrics.
     ///
     /// ```
     /// use quillcove_core::verdict::RefusalReason;
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Reads the word back.
+    /// Parses a label; `None` if it is unknown.
     ///
     /// ```
     /// use quillcove_core::verdict::RefusalReason;
@@ -166,19 +169,19 @@
     ];
 }
 
-/// A final or intermediate "no" together with what is known of the run.
+/// Rejection or failure of a request or an attempt, with its verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WorkRefusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// When asking again makes sense; `None` where asking again is of no use.
+    /// Time after which a retry may succeed; `None` if a retry is of no use.
     pub retry_after: Option<Duration>,
 }
 
 impl WorkRefusal {
-    /// A refusal of work that did not run.
+    /// Creates a refusal of work that did not run.
     ///
     /// ```
     /// use quillcove_core::verdict::{RefusalReason, RunVerdict, WorkRefusal};
@@ -190,7 +193,7 @@
         Self { reason, verdict: RunVerdict::NotRun, retry_after }
     }
 
-    /// A refusal of work that did not run because a queue or a table is full.
+    /// Creates a refusal of work that did not run because a queue or table is full.
     ///
     /// ```
     /// use quillcove_core::verdict::{SOON, WorkRefusal};
@@ -201,7 +204,7 @@
         Self::not_run(RefusalReason::Overloaded, Some(SOON))
     }
 
-    /// An error after which nothing certain is known.
+    /// Creates an error after which it is unknown whether the work ran.
     ///
     /// ```
     /// use quillcove_core::verdict::{RefusalReason, RunVerdict, WorkRefusal};
