--- a/quillcove_core/src/adapter.rs
+++ b/quillcove_core/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Names of adapters together with their version.
+//! Adapter names with a version.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,14 +9,14 @@
 
 use crate::ids::AdapterVersion;
 
-/// Longest accepted adapter name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const NAME_LIMIT: usize = 128;
 
-/// Separates the adapter's name from its version.
+/// Separator between an adapter's name and its version.
 const VERSION_MARK: char = '@';
 
-/// One adapter at one version; this is the name under which engines load it, so an engine can
-/// not run another version than the one asked for.
+/// An adapter in one version. Engines load it under its text form, `name@version`, so an engine
+/// cannot run another version than the requested one.
 ///
 /// ```
 /// use quillcove_core::adapter::AdapterRef;
@@ -27,13 +27,13 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AdapterRef {
-    /// Name without version.
+    /// Name without the version.
     pub name: Arc<str>,
-    /// Version from the bundle.
+    /// Version stated in the bundle.
     pub version: AdapterVersion,
 }
 
-/// Says why a text is not an adapter name with a version.
+/// Error of parsing an [`AdapterRef`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NameError {
     /// The version after `@` is missing.
@@ -42,7 +42,7 @@
     /// The version is not a whole number.
     #[error("version '{0}' is not a whole number")]
     BadVersion(String),
-    /// The name is empty, too long or has characters that are not allowed.
+    /// The name is empty, too long or contains a character that is not allowed.
     #[error(
         "name '{0}' is not accepted: 1 to {NAME_LIMIT} letters, digits, dots, dashes or underscores"
     )]
@@ -50,7 +50,7 @@
 }
 
 impl AdapterRef {
-    /// Joins a name and a version.
+    /// Creates a reference from a name and a version.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -62,7 +62,8 @@
     }
 }
 
-/// Tells whether a name may be used for an adapter, a model, a service or a host.
+/// Returns whether a name is valid for an adapter, a model, a service or a host: 1 to
+/// [`NAME_LIMIT`] ASCII letters, digits, dots, dashes or underscores.
 ///
 /// ```
 /// use quillcove_core::adapter::is_valid_name;
--- a/quillcove_core/src/class.rs
+++ b/quillcove_core/src/class.rs
@@ -1,19 +1,19 @@
-//! Classes of work.
+//! Work classes, which order requests by urgency.
 
 use serde::{Deserialize, Serialize};
 
-/// How urgent a request is. The order of the variants is the order of service.
+/// Urgency of a request. The order of the variants is the order in which requests are served.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum WorkClass {
-    /// Somebody waits for the answer, as with a seat check.
+    /// A user waits for the response, as for a seat check.
     Urgent,
-    /// The default.
+    /// Default class.
     #[default]
     Normal,
-    /// Only the deadline counts, as with overnight reviews.
+    /// Only the deadline matters, as for overnight reviews.
     Batch,
 }
 
@@ -21,7 +21,7 @@
     /// All classes, most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Normal, Self::Batch];
 
-    /// The word used in headers, metrics and the state dump.
+    /// Returns the label used in headers, metrics and the state dump.
     ///
     /// ```
     /// use quillcove_core::class::WorkClass;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Reads the word back.
+    /// Parses a label; `None` if it is unknown.
     ///
     /// ```
     /// use quillcove_core::class::WorkClass;
@@ -48,7 +48,7 @@
         Self::ALL.into_iter().find(|class| class.label() == label)
     }
 
-    /// Weight of one waiting request when loads are ranked, without unit.
+    /// Returns the dimensionless weight of a waiting request in the ranking of adapter loads.
     ///
     /// ```
     /// use quillcove_core::class::WorkClass;
--- a/quillcove_core/src/demand.rs
+++ b/quillcove_core/src/demand.rs
@@ -1,10 +1,10 @@
-//! Demand that fades with time.
+//! Measurement of demand with exponential decay.
 
 use std::time::Duration;
 
 use crate::ids::MonoTime;
 
-/// Counts events and halves the count each half-life, so that old demand loses its weight.
+/// Event counter that decays exponentially with a half-life, so that recent demand counts more.
 ///
 /// ```
 /// use std::time::Duration;
@@ -22,7 +22,7 @@
 }
 
 impl DemandMeter {
-    /// Adds to the level at the given time.
+    /// Adds `amount` events at the time `now`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -37,7 +37,7 @@
         self.updated = now;
     }
 
-    /// The faded level, in events.
+    /// Returns the decayed count, in events.
     ///
     /// ```
     /// use std::time::Duration;
@@ -50,7 +50,7 @@
         self.level * (-age / half_life.as_secs_f64()).exp2()
     }
 
-    /// Events a second that would hold the level steady.
+    /// Returns the rate, in events per second, at which the level would stay constant.
     ///
     /// ```
     /// use std::time::Duration;
--- a/quillcove_core/src/fence.rs
+++ b/quillcove_core/src/fence.rs
@@ -1,4 +1,4 @@
-//! Fences of orders to an engine.
+//! Fencing tokens of load and unload orders to an engine.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,9 +7,10 @@
 
 use crate::ids::BundleVersion;
 
-/// Position of an order; an engine that checks fences refuses every order below the highest one
-/// it has seen. The bundle's version stands first, so the engine remembers the newest version
-/// that any agent acted on, also for an agent that starts with nothing.
+/// Fencing token of an order. An engine that checks fences rejects every order with a lower fence
+/// than the highest it has received. The bundle version is compared first, so the engine also
+/// records the newest version that any agent acted on, which an agent without stored state reads
+/// from it.
 ///
 /// ```
 /// use quillcove_core::fence::OrderFence;
@@ -23,11 +24,11 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct OrderFence {
-    /// Version of the bundle that the order follows.
+    /// Version of the bundle on which the order is based.
     pub bundle: BundleVersion,
-    /// Grows each time another agent takes over the upstream.
+    /// Increases each time another agent takes over the upstream.
     pub term: u64,
-    /// Grows with each order of one agent.
+    /// Increases with each order of one agent.
     pub sequence: u64,
 }
 
--- a/quillcove_core/src/ids.rs
+++ b/quillcove_core/src/ids.rs
@@ -1,10 +1,10 @@
-//! Identifiers and the time type that all modules share.
+//! Identifiers and the time type shared by all modules.
 
 use std::time::Duration;
 
 /// Name of an adapter without its version.
 pub type AdapterName = String;
-/// Version of an adapter, as the bundle states it.
+/// Version of an adapter, as stated in the bundle.
 pub type AdapterVersion = u32;
 /// Name of a base model.
 pub type ModelName = String;
@@ -14,20 +14,20 @@
 pub type HostId = String;
 /// Name of a hall.
 pub type HallName = String;
-/// Name of a workspace, whose callers share keys, a rank and a limit.
+/// Name of a workspace. Its callers share its keys, priority and quota.
 pub type WorkspaceName = String;
-/// Name of the caller's organisation, used for fair shares.
+/// Name of the caller's organisation, used for fair queueing.
 pub type CallerId = String;
-/// Identifies one caller's request from admission to its last byte.
+/// Id of a caller's request, from admission to the last byte of its response.
 pub type RequestId = u128;
-/// Identifies one try of a request at one upstream.
+/// Id of one attempt of a request at one upstream.
 pub type AttemptId = u128;
-/// Version of the signed bundle; grows with each publication.
+/// Version of the signed bundle; increases with each publication.
 pub type BundleVersion = u64;
-/// Counts the times at which the platform's store came back from an older copy of itself; zero where it
-/// does not say.
+/// Number of times that the platform's store was restored from an older copy; 0 if the store does
+/// not report it.
 pub type StoreEra = u64;
-/// Random number that a process draws at its start; differs after every restart.
+/// Random number that a process draws at its start, different for each process start.
 pub type Incarnation = u64;
-/// Time since the start of the process, read from the monotonic clock.
+/// Monotonic time since the process start.
 pub type MonoTime = Duration;
--- a/quillcove_core/src/lib.rs
+++ b/quillcove_core/src/lib.rs
@@ -1,18 +1,19 @@
-//! Coordination decisions for serving very many LoRA adapters from few engine slots.
+//! Coordination logic for serving a large number of LoRA adapters from few engine slots.
 //!
-//! Every part is a plain synchronous state machine: an event and the current time go in,
-//! actions come out. Nothing here opens a socket, reads a clock or needs a runtime, so the
-//! daemons, the model checker and the fuzz tests all run the same code, and others can embed it.
+//! Every component is a synchronous state machine that maps an event and the current time to
+//! actions. None opens a socket, reads a clock or needs an async runtime, so the daemons, the model
+//! checker and the fuzz tests run the same code, and it can be embedded in other programs.
 //!
-//! - [`access`] decides for workspaces: whose key may do what, and how much.
-//! - [`agent`] decides for one upstream: what runs, what waits, what is loaded and unloaded.
-//! - [`crash`] tells under which requests upstreams end.
-//! - [`entry`] decides for callers: which upstream takes a request and when a repeat is allowed.
-//! - [`once`] keeps requests that must not run twice.
-//! - [`relay`] decides for requests that are passed through unchanged, and plans adapter loads.
-//! - [`standing`] keeps what upstreams say of themselves: that they leave, or want to rest.
-//! - [`permit`] shares the weight store's rate between agents.
-//! - [`bundle`] checks, signs and compares the configuration that operators publish.
+//! - [`access`] authorizes requests by their workspace's key and enforces quotas.
+//! - [`agent`] schedules one upstream: its queue, running requests, adapter loads and unloads.
+//! - [`crash`] identifies fatal requests, under which upstreams exit.
+//! - [`entry`] chooses the upstream for each caller's request and decides on retries.
+//! - [`once`] ensures that a request which must not run twice runs at most once.
+//! - [`relay`] routes requests that are passed through unchanged, and plans adapter loads.
+//! - [`standing`] tracks the status that upstreams report: draining, requested pauses and rate
+//!   limits.
+//! - [`permit`] divides the weight store's load rate among agents.
+//! - [`bundle`] verifies, signs and compares the bundles that operators publish.
 
 #![deny(rustdoc::broken_intra_doc_links, missing_docs, unsafe_code)]
 #![deny(clippy::all)]
