--- a/quillcove_core/src/permit.rs
+++ b/quillcove_core/src/permit.rs
@@ -59,16 +59,16 @@
 }
 
 impl PermitKeeper {
-    /// Creates a keeper with a full allowance.
+    /// Creates an instance with a full allowance and no permits granted.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
     /// use quillcove_core::permit::{PermitAnswer, PermitAsk, PermitKeeper};
     ///
-    /// let mut keeper = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
+    /// let mut permits = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
     /// let ask = PermitAsk { host: "e1".into(), value: 1.0 };
-    /// assert_eq!(keeper.ask(Duration::ZERO, &ask), PermitAnswer::Granted);
+    /// assert_eq!(permits.ask(Duration::ZERO, &ask), PermitAnswer::Granted);
     /// ```
     pub fn new(limits: LoadLimits, now: MonoTime) -> Self {
         Self {
@@ -87,8 +87,8 @@
     /// use quillcove_core::bundle::LoadLimits;
     /// use quillcove_core::permit::PermitKeeper;
     ///
-    /// let mut keeper = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
-    /// keeper.set_limits(LoadLimits { per_second: 1.0, at_once: 1 });
+    /// let mut permits = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
+    /// permits.set_limits(LoadLimits { per_second: 1.0, at_once: 1 });
     /// ```
     pub fn set_limits(&mut self, limits: LoadLimits) {
         self.limits = limits;
@@ -103,9 +103,9 @@
     /// use quillcove_core::permit::{PermitAnswer, PermitAsk, PermitKeeper};
     ///
     /// let limits = LoadLimits { per_second: 1.0, at_once: 1 };
-    /// let mut keeper = PermitKeeper::new(limits, Duration::ZERO);
-    /// keeper.ask(Duration::ZERO, &PermitAsk { host: "e1".into(), value: 1.0 });
-    /// let answer = keeper.ask(Duration::ZERO, &PermitAsk { host: "e2".into(), value: 9.0 });
+    /// let mut permits = PermitKeeper::new(limits, Duration::ZERO);
+    /// permits.ask(Duration::ZERO, &PermitAsk { host: "e1".into(), value: 1.0 });
+    /// let answer = permits.ask(Duration::ZERO, &PermitAsk { host: "e2".into(), value: 9.0 });
     /// assert!(matches!(answer, PermitAnswer::Wait(_)));
     /// ```
     pub fn ask(&mut self, now: MonoTime, ask: &PermitAsk) -> PermitAnswer {
@@ -132,9 +132,9 @@
     /// use quillcove_core::bundle::LoadLimits;
     /// use quillcove_core::permit::PermitKeeper;
     ///
-    /// let mut keeper = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
-    /// keeper.give_back("e1");
-    /// assert_eq!(keeper.permit_count(), 0);
+    /// let mut permits = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
+    /// permits.give_back("e1");
+    /// assert_eq!(permits.permit_count(), 0);
     /// ```
     pub fn give_back(&mut self, host: &str) {
         self.granted.remove(host);
