--- a/quillcove/src/loader/crashes.rs
+++ b/quillcove/src/loader/crashes.rs
@@ -1,4 +1,5 @@
-//! Loads under which the engine ended, and what relays have told of ended replicas.
+//! Crash records in the loader: loads during which the engine's process exited, and records
+//! received from relays about replicas that exited.
 
 use std::net::SocketAddr;
 
@@ -10,37 +11,37 @@
 use quillcove_core::relay::loader::BrokenLoad;
 use slog::info;
 
-use super::LoaderDuty;
+use super::LoaderTask;
 
-impl LoaderDuty {
-    /// Notes that the load of an adapter came to a good end.
-    pub(super) fn note_good_load(&mut self, key: &AdapterKey, now: MonoTime) {
+impl LoaderTask {
+    /// Records that an adapter was loaded without a replica exit.
+    pub(super) fn record_good_load(&mut self, key: &AdapterKey, now: MonoTime) {
         let version = self.machine.report().version_of(key);
         self.crashes.note_good(load_identity(key, version), now);
     }
 
-    /// Notes the loads under which the engine ended.
-    pub(super) fn note_broken_loads(&mut self, broken: &[BrokenLoad], now: MonoTime) {
+    /// Records the loads that were in progress when the engine's process exited.
+    pub(super) fn record_broken_loads(&mut self, broken: &[BrokenLoad], now: MonoTime) {
         for load in broken {
-            info!(self.log, "engine ended while it loaded"; "model" => &load.key.model,
+            info!(self.log, "engine exited during a load"; "model" => &load.key.model,
                 "adapter" => &load.key.adapter, "version" => load.version,
                 "replica" => &load.run.replica);
             let identity = load_identity(&load.key, load.version);
-            let broke = AnswerBreak { identity, has_begun: false, sent_at: now };
-            self.crashes.note_broken(&load.run, broke, now);
+            let answer_break = AnswerBreak { identity, has_begun: false, sent_at: now };
+            self.crashes.note_broken(&load.run, answer_break, now);
             self.crashes.confirm_end(&load.run, now);
         }
     }
 
-    /// Tells relays of the loads under which the engine ended.
-    pub(super) fn tell_ends(&mut self, is_beacon: bool, now: MonoTime) {
-        for message in self.crashes.tell(is_beacon, now) {
+    /// Sends the crash records that are due to all relays.
+    pub(super) fn send_due_crashes(&mut self, is_heartbeat: bool, now: MonoTime) {
+        for message in self.crashes.tell(is_heartbeat, now) {
             self.send(&PeerMessage::Crash(message), self.relays.all());
         }
     }
 
-    /// Tells a relay all that this loader was told of ended replicas, and what it has seen itself.
-    pub(super) fn tell_crashes(&self, relay: SocketAddr, now: MonoTime) {
+    /// Sends a relay every crash record of this loader, both received and recorded here.
+    pub(super) fn send_all_crashes(&self, relay: SocketAddr, now: MonoTime) {
         for message in in_messages(self.crashes.book().all(now)) {
             self.send(&PeerMessage::Crash(message), [relay]);
         }
--- a/quillcove/src/loader/mod.rs
+++ b/quillcove/src/loader/mod.rs
@@ -1,8 +1,8 @@
-//! The loader: a small process beside one engine. It reads the engine's report, tells the relays,
-//! and gives the engine the orders that the keeper among the relays asks for.
+//! The loader: a small process beside one engine. It reads the engine's report, forwards it to the
+//! relays in heartbeats, and sends the engine the load orders that relays request.
 //!
-//! One duty, `serve`, does all of it: the report, orders and datagrams take turns and share the
-//! machine that decides.
+//! A single task, `serve`, interleaves reports, orders and datagrams, so that all three share one
+//! state machine, [`LoaderMachine`], without locks.
 
 mod crashes;
 
@@ -36,33 +36,33 @@
 use crate::peers::{PeerArrival, PeerSocket};
 use crate::web::client::{WebClient, WebError};
 
-/// Longest time between two reports to the relays.
-const BEACON_INTERVAL: Duration = Duration::from_millis(400);
+/// Longest time between two heartbeats to the relays.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest time between two reports while requests wait for their first event: new requests go by
-/// how many do.
+/// Longest time between two heartbeats while requests wait for their first event: relays route new
+/// requests by the number of waiting ones.
 const WAITING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between reads of the engine's report while loads are on their way.
+/// Time between reads of the engine's report while loads are in progress.
 const BUSY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Longest time for a read of the report, on the same host.
+/// Timeout for reading the report, from the same host.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest time for a connection to the engine, on the same host.
+/// Timeout for connecting to the engine, on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time that the unused connection to the engine is kept.
-const IDLE_TIME: Duration = Duration::from_secs(5);
+/// Time after which an idle connection to the engine is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A loader's state in a dump.
+/// State of a loader as written to a dump.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoaderView {
-    /// What the engine said last.
+    /// Last report of the engine.
     pub report: EngineReport,
-    /// Relays heard lately.
+    /// Relays from which a message arrived recently.
     pub relays: Vec<SocketAddr>,
-    /// Whether the engine answers.
+    /// Whether the last read of the engine's report got a response.
     pub is_engine_up: bool,
 }
 
@@ -81,20 +81,20 @@
     }
 }
 
-/// Addresses that a loader has bound.
+/// Addresses to which a loader is bound.
 #[derive(Clone, Copy, Debug)]
 pub struct LoaderAddresses {
-    /// For relays.
+    /// Address for datagrams from relays.
     pub control: SocketAddr,
-    /// For operators.
+    /// Address of the HTTP server for operators.
     pub operator: SocketAddr,
 }
 
-/// Runs a loader until the process is told to stop; `bound` gets its addresses.
+/// Runs a loader until `stopped` becomes true; passes the bound addresses to `bound`.
 ///
 /// # Errors
 ///
-/// When an address can not be bound.
+/// Returns an error when an address can not be bound.
 ///
 /// ```no_run
 /// use quillcove::config::relay::LoaderSettings;
@@ -110,7 +110,7 @@
     bound: impl FnOnce(LoaderAddresses),
 ) -> eyre::Result<()> {
     duty::run_async(1, async move {
-        let loader = LoaderDuty::start(settings, log).await?;
+        let loader = LoaderTask::start(settings, log).await?;
         let control = loader.socket.local_addr()?;
         bound(LoaderAddresses { control, operator: loader.operator.local_addr() });
         loader.serve(stopped).await;
@@ -118,7 +118,7 @@
     })
 }
 
-struct LoaderDuty {
+struct LoaderTask {
     settings: LoaderSettings,
     log: Logger,
     clock: MonoClock,
@@ -128,22 +128,23 @@
     metrics: Arc<ProcessMetrics>,
     view: Arc<Mutex<LoaderView>>,
     relays: RelayRoll,
-    /// What relays have told of requests under which replicas end.
+    /// Crash records of requests and loads, received from relays or recorded here.
     crashes: CrashWatch,
     incarnation: u64,
-    beacons: u64,
+    /// Number of heartbeats sent, from which each takes its sequence number.
+    heartbeats: u64,
     sender: ReportSender,
-    /// Loads that ended since the last beacon.
+    /// Loads completed since the last heartbeat.
     arrivals: Vec<ArrivedLoad>,
-    last_beacon: MonoTime,
+    last_heartbeat: MonoTime,
     is_engine_up: bool,
-    /// Whether the last beacon said that the engine can take in no adapter.
-    told_full: bool,
-    /// Closes when it is dropped.
+    /// Whether the last heartbeat reported that the engine has no free adapter slot.
+    was_reported_full: bool,
+    /// Stops serving when dropped.
     operator: HttpServer<Arc<OperatorContext>>,
 }
 
-impl LoaderDuty {
+impl LoaderTask {
     async fn start(settings: LoaderSettings, log: Logger) -> eyre::Result<Self> {
         let socket = PeerSocket::bind(settings.listen.control).await?;
         let metrics = Arc::new(ProcessMetrics::new("loader")?);
@@ -151,13 +152,13 @@
         let inspector = LoaderInspector { view: view.clone() };
         let address = settings.listen.operator;
         let operator = operator::start(address, inspector, metrics.clone(), &log)?;
-        let fence = first_fence();
+        let fence = initial_fence();
         info!(log, "loader started"; "control" => %settings.listen.control,
             "engine" => %settings.engine.address, "fence" => fence);
         let incarnation = rand::random();
         Ok(Self {
             machine: LoaderMachine::new(settings.process.host.clone(), fence),
-            client: WebClient::new(CONNECT_TIMEOUT, IDLE_TIME),
+            client: WebClient::new(CONNECT_TIMEOUT, IDLE_TIMEOUT),
             clock: MonoClock::start(),
             socket,
             metrics,
@@ -165,12 +166,12 @@
             relays: RelayRoll::new(incarnation),
             crashes: CrashWatch::default(),
             incarnation,
-            beacons: 0,
+            heartbeats: 0,
             sender: ReportSender::default(),
             arrivals: Vec::new(),
-            last_beacon: MonoTime::ZERO,
+            last_heartbeat: MonoTime::ZERO,
             is_engine_up: false,
-            told_full: false,
+            was_reported_full: false,
             operator,
             settings,
             log,
@@ -183,29 +184,31 @@
             tokio::select! {
                 _ = stopped.wait_for(|is_stopped| *is_stopped) => break,
                 arrival = self.socket.receive() => match arrival {
-                    Ok(arrival) => self.take(arrival),
-                    Err(error) => warn!(self.log, "datagrams can not be read"; "error" => %error),
+                    Ok(arrival) => self.handle_datagram(arrival),
+                    Err(error) => warn!(self.log, "failed to read datagrams"; "error" => %error),
                 },
                 () = sleep_until(next_report) => {
-                    // When it can not be read, the next one is due after a pause all the same.
+                    // The delay applies after a failed read too.
                     self.read_report().await;
-                    next_report = Instant::now() + self.pause();
+                    next_report = Instant::now() + self.report_delay();
                 },
             }
             while let Some(order) = self.machine.next_order(self.clock.now()) {
-                let outcome = self.give(&order).await;
+                let outcome = self.execute_order(&order).await;
                 let is_read = self.read_report().await;
-                // Without a newer report the next order would be decided on what this one changed.
+                // The order changed the engine's state: without a report read after it, the next
+                // order would be decided on outdated state.
                 if outcome == OrderOutcome::Busy || !is_read {
                     break;
                 }
-                next_report = Instant::now() + self.pause();
+                next_report = Instant::now() + self.report_delay();
             }
         }
         info!(self.log, "loader stopped");
     }
 
-    fn pause(&self) -> Duration {
+    /// Returns the time until the engine's report is read again.
+    fn report_delay(&self) -> Duration {
         let report = self.machine.report();
         match report.incoming.is_empty() && !report.is_busy {
             true if report.waiting > 0 => WAITING_INTERVAL,
@@ -214,33 +217,34 @@
         }
     }
 
-    fn take(&mut self, arrival: PeerArrival) {
+    fn handle_datagram(&mut self, arrival: PeerArrival) {
         let now = self.clock.now();
         let (message, from) = match arrival {
             PeerArrival::Message(message, from) => (*message, from),
             PeerArrival::Garbage(from, error) => {
-                warn!(self.log, "datagram is no message"; "from" => %from, "error" => %error);
+                warn!(self.log, "failed to decode datagram"; "from" => %from, "error" => %error);
                 return;
             },
         };
         match message {
-            PeerMessage::Use(beacon) => {
-                let relay = beacon.relay;
-                self.machine.take_uses(beacon, now);
-                self.tell_room(now);
-                self.hear(relay, now);
+            PeerMessage::Use(heartbeat) => {
+                let relay = heartbeat.relay;
+                self.machine.take_uses(heartbeat, now);
+                self.report_regained_room(now);
+                self.record_relay(relay, now);
             },
-            PeerMessage::Resend(ask) => self.greet(ask.relay, now),
-            // Kept for relays that start again.
-            PeerMessage::Crash(told) => drop(self.crashes.take(&told, now)),
-            PeerMessage::CrashAsk(ask) => self.tell_crashes(ask.relay, now),
+            PeerMessage::Resend(ask) => self.send_full_report(ask.relay, now),
+            // Stored so that a relay that restarts can ask for them.
+            PeerMessage::Crash(records) => drop(self.crashes.take(&records, now)),
+            PeerMessage::CrashAsk(ask) => self.send_all_crashes(ask.relay, now),
             PeerMessage::Load(ask) => {
-                info!(self.log, "load asked for"; "relay" => %from, "replica" => &ask.replica,
+                info!(self.log, "load requested"; "relay" => %from, "replica" => &ask.replica,
                     "model" => &ask.model, "adapter" => ask.adapter.as_deref().unwrap_or("-"),
                     "version" => ask.version);
                 self.machine.take_ask(ask, now);
-                // It waits for the adapter, which may be here already.
-                self.hear(from, now);
+                // The relay waits for the adapter, which may be loaded already. A new relay gets a
+                // full report, which then lists it.
+                self.record_relay(from, now);
             },
             PeerMessage::Relay(_)
             | PeerMessage::Engine(_)
@@ -250,55 +254,55 @@
             | PeerMessage::Change(_)
             | PeerMessage::ProofAsk(_)
             | PeerMessage::Proof(_) => {
-                warn!(self.log, "message is meant for a relay"; "from" => %from);
+                warn!(self.log, "received a message that only relays handle"; "from" => %from);
             },
         }
     }
 
-    /// Notes that a relay is there, and sends it a whole report if it is new.
-    fn hear(&mut self, relay: SocketAddr, now: MonoTime) {
+    /// Records that a relay is alive, and sends it a full report if it is new.
+    fn record_relay(&mut self, relay: SocketAddr, now: MonoTime) {
         if self.relays.hear(relay, now) {
-            info!(self.log, "relay heard"; "relay" => %relay);
-            self.greet(relay, now);
+            info!(self.log, "relay discovered"; "relay" => %relay);
+            self.send_full_report(relay, now);
         }
     }
 
-    /// Reads the engine's report, and passes it on when it is due or what the engine holds
-    /// changed; tells whether it could be read.
+    /// Reads the engine's report, and sends a heartbeat when one is due or the engine's loaded
+    /// adapters changed. Returns whether the report could be read.
     async fn read_report(&mut self) -> bool {
         let report = self.fetch_report().await;
         let is_up = report.is_some();
         if is_up != self.is_engine_up {
             self.is_engine_up = is_up;
-            info!(self.log, "engine reachable"; "is_up" => is_up);
+            info!(self.log, "engine reachability changed"; "is_up" => is_up);
         }
         let Some(report) = report else {
             return false;
         };
         let now = self.clock.now();
         if report.is_leaving && !self.machine.report().is_leaving {
-            info!(self.log, "engine says that it leaves"; "born" => report.born);
+            info!(self.log, "engine is draining"; "born" => report.born);
         }
         let change = self.machine.take_report(report, now);
-        self.note_broken_loads(&change.broken, now);
+        self.record_broken_loads(&change.broken, now);
         for (held, load) in change.arrived {
-            info!(self.log, "adapter held"; "model" => &held.model, "adapter" => &held.adapter,
+            info!(self.log, "adapter loaded"; "model" => &held.model, "adapter" => &held.adapter,
                 "took_ms" => load.took.as_millis() as u64, "was_warm" => load.was_warm,
                 "incoming" => self.machine.report().incoming.len());
-            self.note_good_load(&held, now);
+            self.record_good_load(&held, now);
             self.arrivals.push(load);
         }
-        self.forget_relays(now);
+        self.expire_relays(now);
         let interval = match self.machine.report().waiting {
-            0 => BEACON_INTERVAL,
+            0 => HEARTBEAT_INTERVAL,
             _ => WAITING_INTERVAL,
         };
-        let is_due = now.saturating_sub(self.last_beacon) >= interval;
+        let is_due = now.saturating_sub(self.last_heartbeat) >= interval;
         if change.is_changed || is_due {
-            self.tell(now);
+            self.send_heartbeat(now);
         }
-        self.tell_ends(is_due, now);
-        self.tell_room(now);
+        self.send_due_crashes(is_due, now);
+        self.report_regained_room(now);
         true
     }
 
@@ -313,43 +317,44 @@
         match engine::read_report(answer.body()) {
             Ok(report) => Some(EngineReport { is_leaving: notice.is_leaving, ..report }),
             Err(fault) => {
-                warn!(self.log, "the engine's report is not understood"; "fault" => %fault);
+                warn!(self.log, "failed to parse the engine's report"; "fault" => %fault);
                 None
             },
         }
     }
 
-    /// What the engine says of itself with an answer.
+    /// Reads the status headers that the engine sends about itself with a response.
     fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamNotice {
         let (notice, fault) = heads::read_notice(status, headers, SystemTime::now());
         if let Some(fault) = fault {
-            warn!(self.log, "word of the engine not understood"; "fault" => %fault);
+            warn!(self.log, "failed to parse the engine's status headers"; "fault" => %fault);
         }
         notice
     }
 
-    fn forget_relays(&mut self, now: MonoTime) {
+    fn expire_relays(&mut self, now: MonoTime) {
         self.crashes.tick(now);
         for relay in self.relays.forget(now) {
-            info!(self.log, "relay no longer heard"; "relay" => %relay);
+            info!(self.log, "relay timed out"; "relay" => %relay);
         }
     }
 
-    /// Sends a whole report to one relay: one that is new here, so that it need not wait for the next
-    /// report, or one that has missed some.
-    fn greet(&mut self, relay: SocketAddr, now: MonoTime) {
+    /// Sends a full report to one relay: to a new one, which then need not wait for the next
+    /// heartbeat, or to one that missed some.
+    fn send_full_report(&mut self, relay: SocketAddr, now: MonoTime) {
         if self.is_engine_up {
-            let beacon = self.beacon(Vec::new(), now);
-            self.send(&PeerMessage::Engine(Box::new(beacon)), [relay]);
+            let heartbeat = self.engine_heartbeat(Vec::new(), now);
+            self.send(&PeerMessage::Engine(Box::new(heartbeat)), [relay]);
         }
     }
 
     fn next_number(&mut self) -> u64 {
-        self.beacons += 1;
-        self.beacons
+        self.heartbeats += 1;
+        self.heartbeats
     }
 
-    fn beacon(&mut self, arrivals: Vec<ArrivedLoad>, now: MonoTime) -> EngineBeacon {
+    /// Builds a heartbeat with the full report.
+    fn engine_heartbeat(&mut self, arrivals: Vec<ArrivedLoad>, now: MonoTime) -> EngineBeacon {
         EngineBeacon {
             host: self.settings.process.host.clone(),
             engine: self.settings.engine.address,
@@ -365,7 +370,8 @@
         }
     }
 
-    fn gauges(&mut self, now: MonoTime) -> GaugeBeacon {
+    /// Builds a heartbeat with the gauges alone, for relays that hold the rest of the report.
+    fn gauge_heartbeat(&mut self, now: MonoTime) -> GaugeBeacon {
         let report = self.machine.report();
         let (running, waiting, is_busy) = (report.running, report.waiting, report.is_busy);
         let spare_places = self.machine.spare_places(now);
@@ -379,21 +385,24 @@
         }
     }
 
-    /// Tells relays at once when the engine can take in adapters again.
-    fn tell_room(&mut self, now: MonoTime) {
-        if self.told_full && self.machine.spare_places(now) != Some(0) {
-            self.tell(now);
+    /// Sends a heartbeat at once when an engine that was reported full has a free adapter slot
+    /// again.
+    fn report_regained_room(&mut self, now: MonoTime) {
+        if self.was_reported_full && self.machine.spare_places(now) != Some(0) {
+            self.send_heartbeat(now);
         }
     }
 
-    fn tell(&mut self, now: MonoTime) {
-        self.last_beacon = now;
+    /// Sends a heartbeat to all relays: a full report when one is due or loads have completed,
+    /// gauges alone otherwise.
+    fn send_heartbeat(&mut self, now: MonoTime) {
+        self.last_heartbeat = now;
         let arrivals = std::mem::take(&mut self.arrivals);
-        let is_whole = self.sender.takes_whole(self.machine.report(), now);
-        self.told_full = self.machine.spare_places(now) == Some(0);
-        let message = match is_whole || !arrivals.is_empty() {
-            true => PeerMessage::Engine(Box::new(self.beacon(arrivals, now))),
-            false => PeerMessage::Gauges(self.gauges(now)),
+        let is_full = self.sender.takes_whole(self.machine.report(), now);
+        self.was_reported_full = self.machine.spare_places(now) == Some(0);
+        let message = match is_full || !arrivals.is_empty() {
+            true => PeerMessage::Engine(Box::new(self.engine_heartbeat(arrivals, now))),
+            false => PeerMessage::Gauges(self.gauge_heartbeat(now)),
         };
         let relays: Vec<SocketAddr> = self.relays.all().collect();
         if let Ok(mut view) = self.view.lock() {
@@ -409,8 +418,8 @@
         self.metrics.told(message.kind(), sent);
     }
 
-    /// Gives one order and takes its outcome.
-    async fn give(&mut self, order: &LoadOrder) -> OrderOutcome {
+    /// Sends one order to the engine, and records and returns its outcome.
+    async fn execute_order(&mut self, order: &LoadOrder) -> OrderOutcome {
         let outcome = match self.send_order(order).await {
             Ok(outcome) => outcome,
             Err(WebError::NotSent(_)) => OrderOutcome::Rejected,
@@ -419,7 +428,7 @@
         let is_load = order.kind == OrderKind::Load;
         self.metrics.ordered(is_load, outcome_label(outcome));
         let basis = &order.basis;
-        info!(self.log, "order given"; "kind" => ?order.kind, "replica" => &order.replica,
+        info!(self.log, "order sent"; "kind" => ?order.kind, "replica" => &order.replica,
             "model" => &order.model, "adapter" => order.adapter.as_deref().unwrap_or("-"),
             "version" => order.version, "fence" => order.fence, "outcome" => ?outcome,
             "held" => basis.held, "coming" => basis.coming, "places" => basis.places,
@@ -440,7 +449,9 @@
         let request = request.map_err(|error| WebError::NotSent(error.to_string()))?;
         let answer =
             tokio::time::timeout(self.settings.engine.order_timeout, self.client.send(request));
-        let answer = answer.await.map_err(|_| WebError::Lost("time is up".to_string()))??;
+        let answer = answer
+            .await
+            .map_err(|_| WebError::Lost("engine did not answer the order in time".to_string()))??;
         let notice = self.read_notice(answer.status(), answer.headers());
         if !notice.is_blank() {
             self.metrics.replica_said(&notice);
@@ -450,10 +461,11 @@
     }
 }
 
-/// Fences begin at the wall clock's milliseconds, so that they grow over restarts.
-fn first_fence() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(1, |since| since.as_millis() as u64)
+/// Returns the first fencing token: the wall clock in milliseconds, so that tokens grow across
+/// restarts.
+fn initial_fence() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(1, |elapsed| elapsed.as_millis() as u64)
 }
 
 fn outcome_label(outcome: OrderOutcome) -> &'static str {
