--- a/quillcove_core/src/bundle/delta.rs
+++ b/quillcove_core/src/bundle/delta.rs
@@ -1,27 +1,27 @@
-//! Differences between two bundles, by lines. A difference needs no trust of its own: the
-//! receiver rebuilds the exact bytes and checks the signature over them.
+//! Line-based deltas between the texts of two bundles. A delta is not signed itself: the receiver
+//! rebuilds the exact bytes of the newer text and verifies the signature over them.
 
 use serde::{Deserialize, Serialize};
 use similar::{DiffOp, TextDiff};
 
 use crate::ids::BundleVersion;
 
-/// One step of rebuilding the newer text.
+/// One step in rebuilding the newer text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DeltaStep {
-    /// Take this many bytes of the older text, from this offset on.
+    /// Copies a range of bytes from the older text.
     Copy {
-        /// Offset in bytes.
+        /// Start of the range in the older text, in bytes.
         offset: usize,
-        /// Length in bytes.
+        /// Length of the range, in bytes.
         length: usize,
     },
-    /// Take this text.
+    /// Inserts this text.
     Insert(String),
 }
 
-/// How to turn one bundle's text into another's.
+/// Steps that turn the text of one bundle into the text of another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleDelta {
     /// Version of the older text.
@@ -30,25 +30,25 @@
     pub to: BundleVersion,
     /// SHA-256 of the older text, in hex.
     pub base_digest: String,
-    /// Steps in order.
+    /// Steps, in the order in which they are applied.
     pub steps: Vec<DeltaStep>,
 }
 
-/// Why a difference does not fit.
+/// Error of applying a delta to a text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
-    /// It starts from another text.
-    #[error("the difference starts from another text than the one in force")]
+    /// The delta was computed from another text than the one given.
+    #[error("the delta was computed from another text than the one it is applied to")]
     OtherBase,
-    /// A step reaches outside the older text.
-    #[error("a step of the difference reaches outside the older text")]
+    /// A step copies a range that is not within the older text.
+    #[error("a step of the delta copies a range that is not within the older text")]
     OutOfRange,
-    /// The result would be larger than a bundle may be.
-    #[error("the difference makes a text larger than a bundle may be")]
+    /// The rebuilt text exceeds [`VALUE_LIMIT`](super::VALUE_LIMIT).
+    #[error("the text rebuilt from the delta exceeds the size limit of a bundle")]
     TooLarge,
 }
 
-/// Computes the difference between two texts.
+/// Computes the delta from the older text to the newer one; each comes with its version.
 ///
 /// ```
 /// use quillcove_core::bundle::delta::{apply, compute};
@@ -84,7 +84,7 @@
     }
 }
 
-/// Offsets at which lines start, with the text's length at the end.
+/// Returns the offset of the start of each line, followed by the length of the text.
 fn line_starts(text: &str) -> Vec<usize> {
     let mut starts = vec![0];
     for line in text.split_inclusive('\n') {
@@ -93,11 +93,12 @@
     starts
 }
 
-/// Rebuilds the newer text.
+/// Rebuilds the newer text from the older one.
 ///
 /// # Errors
 ///
-/// [`DeltaError`] when the difference does not belong to this text or does not fit it.
+/// Returns [`DeltaError`] when the delta was computed from another text, copies a range that is not
+/// within this one, or rebuilds a text that is too large.
 ///
 /// ```
 /// use quillcove_core::bundle::delta::{DeltaError, apply, compute};
--- a/quillcove_core/src/bundle/gate.rs
+++ b/quillcove_core/src/bundle/gate.rs
@@ -1,4 +1,5 @@
-//! Which bundle is in force: only signed ones, and never an older one.
+//! Decides which bundle is in force: accepts a bundle only with a valid signature, and never one
+//! that is older than a bundle known to have been in force.
 
 use std::sync::Arc;
 
@@ -8,64 +9,66 @@
 use super::text::{TextError, parse};
 use crate::ids::BundleVersion;
 
-/// A bundle in force, with the bytes it came from so that it can be passed on.
+/// An accepted bundle, with its exact bytes, so that other processes can fetch it from this one.
 #[derive(Clone, Debug)]
 pub struct HeldBundle {
-    /// Announcement with the signature.
+    /// Head of the bundle, with the signature.
     pub head: BundleHead,
-    /// Exact text.
+    /// Text, byte for byte as signed.
     pub text: Arc<str>,
-    /// Checked content.
+    /// Content parsed from the text.
     pub content: Arc<FleetBundle>,
 }
 
-/// Why a bundle is not taken into force.
+/// Reason for rejecting a bundle.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GateError {
-    /// It is older than one that was in force or that an engine acted on.
-    #[error("version {offered} is lower than {floor}, which was in force before")]
+    /// The bundle is older than one that was in force here or that an upstream acted on.
+    #[error("version {offered} is lower than {floor}, the lowest version accepted")]
     Lower {
-        /// Version offered.
+        /// Version of the rejected bundle.
         offered: BundleVersion,
         /// Lowest version that is accepted.
         floor: BundleVersion,
     },
-    /// The version in force has other bytes.
-    #[error("version {0} is in force with other bytes")]
+    /// The bundle has the version of the accepted one, but other bytes.
+    #[error("version {0} was already accepted with other bytes")]
     OtherBytes(BundleVersion),
-    /// Head and text do not belong together.
-    #[error("the head announces another text than the one given")]
+    /// The digest or version in the head differs from that of the text.
+    #[error("the digest or version in the head differs from that of the text")]
     HeadMismatch,
-    /// The signature is not accepted.
+    /// The signature is invalid or of an untrusted key.
     #[error(transparent)]
     Signature(#[from] SignatureError),
-    /// The difference does not fit.
+    /// The delta can not be applied.
     #[error(transparent)]
     Delta(#[from] DeltaError),
-    /// The text is at fault.
-    #[error("the text has {} faults; the first is: {}", .0.len(), .0[0])]
+    /// The text has errors.
+    #[error("the text has {} errors; the first is: {}", .0.len(), .0[0])]
     Text(Vec<TextError>),
 }
 
-/// What an offer changed.
+/// Effect of an accepted offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateChange {
-    /// A newer bundle is now in force.
+    /// The offered bundle is newer and is now in force.
     Taken,
-    /// The same bundle was in force already.
+    /// The offered bundle had been accepted before.
     Same,
 }
 
-/// Holds the bundle in force.
+/// Verifies offered bundles and holds the one in force.
 #[derive(Debug, Default)]
 pub struct BundleGate {
     keys: TrustedKeys,
+    /// Last bundle accepted.
     held: Option<HeldBundle>,
+    /// Lowest version that is accepted.
     floor: BundleVersion,
 }
 
 impl BundleGate {
-    /// A gate with nothing in force.
+    /// Creates a gate without a bundle, which accepts bundles signed by these keys.
     ///
     /// ```
     /// use quillcove_core::bundle::{gate::BundleGate, signing::TrustedKeys};
@@ -76,8 +79,8 @@
         Self { keys, held: None, floor: 0 }
     }
 
-    /// The bundle in force. There is none while a newer one is known to exist, because acting on
-    /// an older one would take the newer one back.
+    /// Returns the bundle in force. There is none while a newer bundle is known to exist, because
+    /// acting on an older one would roll back the changes of the newer one.
     ///
     /// ```
     /// use quillcove_core::bundle::{gate::BundleGate, signing::TrustedKeys};
@@ -89,7 +92,7 @@
         self.held.as_ref().filter(|held| held.head.version >= self.floor)
     }
 
-    /// The last bundle taken, also when a newer one is known to exist.
+    /// Returns the last bundle accepted, even if a newer one is known to exist.
     ///
     /// ```
     /// use quillcove_core::bundle::{gate::BundleGate, signing::TrustedKeys};
@@ -100,7 +103,7 @@
         self.held.as_ref()
     }
 
-    /// Lowest version that is accepted.
+    /// Returns the lowest version that is accepted.
     ///
     /// ```
     /// use quillcove_core::bundle::{gate::BundleGate, signing::TrustedKeys};
@@ -111,9 +114,10 @@
         self.floor
     }
 
-    /// Notes that an engine acted on this version, so that no older one comes into force here.
-    /// Only an agent may call this, with what its own engine reported; a peer's word about a
-    /// version is not enough, because a wrong one would stop the service.
+    /// Records that an engine acted on this version, so that no older one comes into force here.
+    /// Only an agent may call this, with the version that its own engine reported. A version
+    /// claimed by a peer must not be recorded: a wrong claim would leave no bundle in force and so
+    /// stop the service.
     ///
     /// ```
     /// use quillcove_core::bundle::{gate::BundleGate, signing::TrustedKeys};
@@ -126,11 +130,12 @@
         self.floor = self.floor.max(version);
     }
 
-    /// Takes a bundle into force when it is signed by a trusted key, well-formed and not older.
+    /// Puts a bundle in force if it is signed by a trusted key, well-formed and no older than the
+    /// lowest accepted version.
     ///
     /// # Errors
     ///
-    /// [`GateError`]; the bundle in force then stays as it was.
+    /// Returns [`GateError`] for a rejected bundle; the bundle in force is then unchanged.
     ///
     /// ```
     /// use quillcove_core::bundle::{gate::BundleGate, signing::{TrustedKeys, sign, signing_key}};
@@ -169,11 +174,11 @@
         Ok(GateChange::Taken)
     }
 
-    /// Takes a newer bundle into force from a difference to the one held.
+    /// Rebuilds a bundle from a delta to the last accepted one, and offers it like [`Self::offer`].
     ///
     /// # Errors
     ///
-    /// [`GateError`], among them a difference that starts from another text.
+    /// Returns [`GateError`] for a rejected bundle or a delta that can not be applied.
     ///
     /// ```
     /// use quillcove_core::bundle::{
--- a/quillcove_core/src/bundle/mod.rs
+++ b/quillcove_core/src/bundle/mod.rs
@@ -1,4 +1,5 @@
-//! The signed bundle: what a site may serve, at which versions and with which priorities.
+//! The signed bundle: the models, adapters, services and routes that a site serves, with versions,
+//! priorities and limits.
 
 pub mod delta;
 pub mod gate;
@@ -14,15 +15,15 @@
 use crate::ids::{AdapterVersion, BundleVersion, HostId, ModelName, ServiceName};
 use crate::route::RouteTable;
 
-/// Largest value that the platform holds, in bytes.
+/// Largest value that the platform's store accepts, in bytes.
 pub const VALUE_LIMIT: usize = 1_000_000;
 
-/// A checked bundle.
+/// Parsed and validated content of a bundle.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetBundle {
-    /// Grows with each publication.
+    /// Version, which increases with each publication.
     pub version: BundleVersion,
-    /// Base models by name.
+    /// Names of the base models.
     pub models: Vec<ModelName>,
     /// Adapters by name.
     pub adapters: BTreeMap<Arc<str>, AdapterEntry>,
@@ -30,57 +31,57 @@
     pub services: BTreeMap<ServiceName, ServiceEntry>,
     /// Routes to plain services, by host and path.
     pub routes: RouteTable,
-    /// Limits of what callers may send.
+    /// Limits of request bodies.
     pub limits: BodyLimits,
-    /// Limits of the weight store.
+    /// Limits of loads from the weight store.
     pub loads: LoadLimits,
-    /// What the operators weigh more.
+    /// Weights of the two optimization goals.
     pub aims: AimWeights,
 }
 
-/// One adapter of the bundle.
+/// An adapter of the bundle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdapterEntry {
     /// Base model that the adapter belongs to.
     pub model: ModelName,
-    /// Version that a bare name resolves to.
+    /// Version to which a name without a version resolves.
     pub current: AdapterVersion,
-    /// Other versions that may still be asked for.
+    /// Other versions that requests may still name.
     pub keep: Vec<AdapterVersion>,
-    /// From 0 to 9; a higher one is loaded earlier and kept longer.
+    /// Priority from 0 to 9; adapters of a higher priority are loaded earlier and evicted later.
     pub priority: u8,
 }
 
-/// One plain service of the bundle.
+/// A plain service of the bundle.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceEntry {
-    /// Hosts among which keys of requests that must not repeat are divided.
+    /// Hosts among which the keys of requests that must not run twice are partitioned.
     pub replicas: Vec<HostId>,
 }
 
-/// Limits of callers' bodies. An entry's own settings may set lower ones.
+/// Limits of the bodies of callers' requests. The settings of an entry may set lower ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BodyLimits {
     /// Largest body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a body to arrive, in milliseconds.
+    /// Longest time for receiving a body, in milliseconds.
     pub body_time_ms: u64,
 }
 
 impl Default for BodyLimits {
-    /// No lower than the entry's own settings allow by default.
+    /// Returns the defaults of an entry's settings, so that a bundle without limits lowers none.
     fn default() -> Self {
         Self { body_bytes: 4 << 20, body_time_ms: 10_000 }
     }
 }
 
-/// What the weight store allows.
+/// Limits of loads from the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadLimits {
-    /// Loads a second for the whole site.
+    /// Loads a second that the whole site may start.
     pub per_second: f64,
-    /// Loads at the same time at full speed.
+    /// Number of concurrent loads that the weight store serves at full speed.
     pub at_once: u32,
 }
 
@@ -90,7 +91,7 @@
     }
 }
 
-/// Relative weights of the two measures, without unit.
+/// Relative weights of the two optimization goals, without unit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AimWeights {
     /// Weight of short load stalls.
@@ -105,7 +106,7 @@
     }
 }
 
-/// Why a requested model name can not be served.
+/// Reason why a requested model name can not be served.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResolveError {
     /// The bundle has no adapter of that name.
@@ -114,14 +115,14 @@
     /// The bundle has the adapter but not that version.
     #[error("the bundle does not serve '{0}'; its current version is {1}")]
     UnknownVersion(AdapterRef, AdapterVersion),
-    /// The name can not be read.
+    /// The name is not valid.
     #[error(transparent)]
     BadName(#[from] crate::adapter::NameError),
 }
 
 impl FleetBundle {
-    /// Turns a caller's model name into an adapter and a version. A bare name takes the version
-    /// that the bundle marks current; the result is then fixed for the whole request.
+    /// Resolves the model name of a request to an adapter and a version. A name without a version
+    /// resolves to the current version of the bundle, which then applies to the whole request.
     ///
     /// ```
     /// use quillcove_core::bundle::text::parse;
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Tells whether the bundle serves this adapter at this version.
+    /// Returns whether the bundle serves this adapter at this version.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -166,7 +167,7 @@
         self.adapters.get(&adapter.name).is_some_and(|entry| entry.serves(adapter.version))
     }
 
-    /// The base model of an adapter.
+    /// Returns the base model of an adapter, or `None` if the bundle does not have the adapter.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -178,7 +179,7 @@
         self.adapters.get(&adapter.name).map(|entry| entry.model.as_str())
     }
 
-    /// The bundle's priority of an adapter, 0 for one it does not know.
+    /// Returns the priority of an adapter, or 0 if the bundle does not have the adapter.
     ///
     /// ```
     /// use quillcove_core::adapter::AdapterRef;
@@ -192,7 +193,7 @@
 }
 
 impl AdapterEntry {
-    /// Tells whether this version may be asked for.
+    /// Returns whether requests may name this version.
     ///
     /// ```
     /// use quillcove_core::bundle::AdapterEntry;
--- a/quillcove_core/src/bundle/signing.rs
+++ b/quillcove_core/src/bundle/signing.rs
@@ -1,4 +1,4 @@
-//! Signatures over the exact bytes of a bundle (Ed25519, RFC 8032).
+//! Signing of bundles, and verification of signatures over their exact bytes (Ed25519, RFC 8032).
 
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
@@ -6,42 +6,43 @@
 
 use crate::ids::BundleVersion;
 
-/// Put before the bundle's bytes when signing, so that a signature serves no other purpose.
+/// Prefix of the signed bytes (domain separation): a signature of a bundle is valid for nothing
+/// else.
 const SIGNING_CONTEXT: &[u8] = b"quillcove bundle 1\n";
 
-/// Bytes of a public key's digest that name the key.
+/// Number of leading bytes of a public key's digest that form the key id.
 const KEY_ID_BYTES: usize = 8;
 
-/// The small value that announces a bundle: which version, which bytes, signed by whom.
+/// Head of a bundle: a small value that announces its version, digest and signature.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleHead {
-    /// Version inside the text.
+    /// Version, equal to the one in the text.
     pub version: BundleVersion,
     /// SHA-256 of the text, in hex.
     pub digest: String,
     /// Length of the text, in bytes.
     pub length: usize,
-    /// Names the public key.
+    /// Id of the public key, in hex.
     pub key_id: String,
-    /// Signature over the text, in hex.
+    /// Signature over the context prefix and the text, in hex.
     pub signature: String,
 }
 
-/// Why a signature is not accepted.
+/// Reason for rejecting a signature or a key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SignatureError {
-    /// The key is not among the trusted ones.
+    /// The signing key is not among the trusted keys.
     #[error("key '{0}' is not among the trusted keys")]
     UnknownKey(String),
-    /// The signature does not fit the bytes.
-    #[error("the signature of key '{0}' does not fit the bundle's bytes")]
+    /// The signature does not verify against the bundle's bytes.
+    #[error("the signature of key '{0}' does not verify against the bundle's bytes")]
     BadSignature(String),
-    /// A key is not 64 hex digits.
+    /// The text is not a valid key of 64 hex digits.
     #[error("'{0}' is not a key of 64 hex digits")]
     BadKey(String),
 }
 
-/// SHA-256 of a text, in hex.
+/// Returns the SHA-256 digest of the bytes, in hex.
 ///
 /// ```
 /// use quillcove_core::bundle::signing::digest;
@@ -52,7 +53,7 @@
     hex::encode(Sha256::digest(bytes))
 }
 
-/// Makes a signing key from 32 random bytes.
+/// Creates a signing key from a seed of 32 random bytes.
 ///
 /// ```
 /// use quillcove_core::bundle::signing::{public_key, signing_key};
@@ -64,11 +65,11 @@
     SigningKey::from_bytes(&seed)
 }
 
-/// Reads a signing key from 64 hex digits.
+/// Parses a signing key of 64 hex digits.
 ///
 /// # Errors
 ///
-/// [`SignatureError::BadKey`] when the text is not 64 hex digits.
+/// Returns [`SignatureError::BadKey`] when the text is not 64 hex digits.
 ///
 /// ```
 /// use quillcove_core::bundle::signing::read_signing_key;
@@ -79,7 +80,7 @@
     Ok(SigningKey::from_bytes(&key_bytes(text)?))
 }
 
-/// The public key as 64 hex digits, as it stands in the settings.
+/// Returns the public key as 64 hex digits, the format of the setting `trusted_keys`.
 ///
 /// ```
 /// use quillcove_core::bundle::signing::{public_key, signing_key};
@@ -90,7 +91,7 @@
     hex::encode(key.verifying_key().as_bytes())
 }
 
-/// Signs a bundle's text.
+/// Signs the text of a bundle and returns its head.
 ///
 /// ```
 /// use quillcove_core::bundle::signing::{TrustedKeys, public_key, sign, signing_key};
@@ -126,18 +127,18 @@
     bytes.try_into().map_err(|_| bad())
 }
 
-/// The public keys whose bundles are accepted.
+/// Public keys whose signatures are accepted.
 #[derive(Clone, Debug, Default)]
 pub struct TrustedKeys {
     keys: Vec<VerifyingKey>,
 }
 
 impl TrustedKeys {
-    /// Reads public keys, each of 64 hex digits.
+    /// Parses public keys, each of 64 hex digits.
     ///
     /// # Errors
     ///
-    /// [`SignatureError::BadKey`] for the first one that can not be read.
+    /// Returns [`SignatureError::BadKey`] for the first key that is not valid.
     ///
     /// ```
     /// use quillcove_core::bundle::signing::TrustedKeys;
@@ -145,18 +146,19 @@
     /// assert!(TrustedKeys::read(&["zz".to_string()]).is_err());
     /// ```
     pub fn read(texts: &[String]) -> Result<Self, SignatureError> {
-        let read_one = |text: &String| {
+        let parse_one = |text: &String| {
             let bytes = key_bytes(text)?;
             VerifyingKey::from_bytes(&bytes).map_err(|_| SignatureError::BadKey(text.clone()))
         };
-        Ok(Self { keys: texts.iter().map(read_one).collect::<Result<_, _>>()? })
+        Ok(Self { keys: texts.iter().map(parse_one).collect::<Result<_, _>>()? })
     }
 
-    /// Checks a head against the bytes it announces.
+    /// Verifies the signature in the head over the bytes of the text.
     ///
     /// # Errors
     ///
-    /// [`SignatureError::UnknownKey`] or [`SignatureError::BadSignature`].
+    /// Returns [`SignatureError::UnknownKey`] for a key that is not trusted, and
+    /// [`SignatureError::BadSignature`] for a signature that does not verify.
     ///
     /// ```
     /// use quillcove_core::bundle::signing::{TrustedKeys, sign, signing_key};
