--- a/quillcove/src/bundle/command.rs
+++ b/quillcove/src/bundle/command.rs
@@ -1,4 +1,4 @@
-//! Operators' commands for bundles.
+//! The subcommands of `quillcove bundle`, with which operators sign, verify and inspect bundles.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,17 +16,18 @@
 
 use super::{HEAD_VALUE, delta_value, text_value};
 
-/// A bundle's text with its checked content.
+/// Text of a bundle file with the content parsed from it.
 struct BundleFile {
     text: String,
     content: FleetBundle,
 }
 
-/// Runs `quillcove bundle`.
+/// Runs the subcommand of `quillcove bundle` that the arguments name.
 ///
 /// # Errors
 ///
-/// Faults of the files given, each with file and line.
+/// Returns an error for a file that can not be read or written, and for an invalid bundle one that
+/// lists each fault with file and line.
 ///
 /// ```no_run
 /// let matches = quillcove::cli::command().get_matches();
@@ -39,22 +40,24 @@
         matches.get_one::<String>(name).cloned().unwrap_or_default()
     };
     match matches.subcommand() {
-        Some(("keygen", matches)) => keygen(Path::new(&path(matches, "file"))),
+        Some(("keygen", matches)) => generate_key(Path::new(&path(matches, "file"))),
         Some(("sign", matches)) => {
             let previous = matches.get_one::<String>("previous");
             let out = path(matches, "out");
             sign_file(&path(matches, "key"), &path(matches, "file"), previous, Path::new(&out))
         },
-        Some(("verify", matches)) => {
-            verify(&path(matches, "head"), &path(matches, "file"), &path(matches, "public-key"))
-        },
-        Some(("show", matches)) => show(&path(matches, "file")),
-        Some(("diff", matches)) => diff(&path(matches, "older"), &path(matches, "newer")),
-        _ => Err(eyre!("no command is named")),
+        Some(("verify", matches)) => verify_file(
+            &path(matches, "head"),
+            &path(matches, "file"),
+            &path(matches, "public-key"),
+        ),
+        Some(("show", matches)) => show_file(&path(matches, "file")),
+        Some(("diff", matches)) => diff_files(&path(matches, "older"), &path(matches, "newer")),
+        _ => Err(eyre!("no subcommand given")),
     }
 }
 
-fn read(file: &str) -> eyre::Result<BundleFile> {
+fn read_bundle(file: &str) -> eyre::Result<BundleFile> {
     let text = fs::read_to_string(file).wrap_err_with(|| format!("can not read {file}"))?;
     match parse(&text) {
         Ok(content) => Ok(BundleFile { text, content }),
@@ -66,10 +69,10 @@
     }
 }
 
-/// Writes a new signing key, and prints the public key for the settings.
-fn keygen(file: &Path) -> eyre::Result<()> {
+/// Generates a signing key, writes it to a file and prints the public key for the settings.
+fn generate_key(file: &Path) -> eyre::Result<()> {
     if file.exists() {
-        bail!("{} exists; a key is never overwritten", file.display());
+        bail!("{} already exists; an existing key is never overwritten", file.display());
     }
     let seed: [u8; 32] = rand::random();
     write_secret(file, &format!("{}\n", hex::encode(seed)))?;
@@ -77,19 +80,20 @@
     Ok(())
 }
 
-/// Writes a file that only its owner can read.
+/// Writes a new file that only its owner can read and write.
 fn write_secret(file: &Path, content: &str) -> eyre::Result<()> {
     use std::io::Write;
     use std::os::unix::fs::OpenOptionsExt;
 
     let mut options = fs::OpenOptions::new();
-    let opened = options.write(true).create_new(true).mode(0o600).open(file);
-    let mut opened = opened.wrap_err_with(|| format!("can not write {}", file.display()))?;
-    opened.write_all(content.as_bytes())?;
+    let created = options.write(true).create_new(true).mode(0o600).open(file);
+    let mut created = created.wrap_err_with(|| format!("can not write {}", file.display()))?;
+    created.write_all(content.as_bytes())?;
     Ok(())
 }
 
-/// Writes the values that operators publish: the head, the text, and the difference.
+/// Signs a bundle and writes the values that operators publish: the head, the text and, with a
+/// previous bundle, the delta from it.
 fn sign_file(
     key_file: &str,
     file: &str,
@@ -98,12 +102,15 @@
 ) -> eyre::Result<()> {
     let key = fs::read_to_string(key_file).wrap_err_with(|| format!("can not read {key_file}"))?;
     let key = read_signing_key(&key).wrap_err_with(|| key_file.to_string())?;
-    let bundle = read(file)?;
+    let bundle = read_bundle(file)?;
     let version = bundle.content.version;
     if bundle.text.len() > VALUE_LIMIT {
-        bail!("{file}: {} bytes; a value holds {VALUE_LIMIT} at most", bundle.text.len());
+        bail!(
+            "{file}: {} bytes; the platform accepts values of at most {VALUE_LIMIT}",
+            bundle.text.len()
+        );
     }
-    let previous = previous.map(|previous| read(previous)).transpose()?;
+    let previous = previous.map(|previous| read_bundle(previous)).transpose()?;
     if let Some(older) = previous.as_ref().filter(|older| older.content.version + 1 != version) {
         bail!(
             "{file}: bundle.version is {version}; after version {} comes {}",
@@ -112,27 +119,27 @@
         );
     }
     let head = sign(&key, version, bundle.text.as_bytes());
-    write(out, HEAD_VALUE, &serde_json::to_string(&head)?)?;
-    write(out, &text_value(version), &bundle.text)?;
+    write_value(out, HEAD_VALUE, &serde_json::to_string(&head)?)?;
+    write_value(out, &text_value(version), &bundle.text)?;
     if let Some(older) = previous {
         let delta = compute((older.content.version, &older.text), (version, &bundle.text));
-        write(out, &delta_value(version), &serde_json::to_string(&delta)?)?;
+        write_value(out, &delta_value(version), &serde_json::to_string(&delta)?)?;
     }
     println!("signed version {version}; publish the head last");
     Ok(())
 }
 
-fn write(out: &Path, name: &str, content: &str) -> eyre::Result<()> {
+fn write_value(out: &Path, name: &str, content: &str) -> eyre::Result<()> {
     let file = out.join(name);
     fs::write(&file, content).wrap_err_with(|| format!("can not write {}", file.display()))?;
     println!("{}  {} bytes", file.display(), content.len());
     Ok(())
 }
 
-fn verify(head_file: &str, file: &str, key: &str) -> eyre::Result<()> {
+fn verify_file(head_file: &str, file: &str, key: &str) -> eyre::Result<()> {
     let head = fs::read(head_file).wrap_err_with(|| format!("can not read {head_file}"))?;
     let head: BundleHead = serde_json::from_slice(&head).wrap_err_with(|| head_file.to_string())?;
-    let bundle = read(file)?;
+    let bundle = read_bundle(file)?;
     let keys = TrustedKeys::read(&[key.to_string()])?;
     keys.verify(&head, bundle.text.as_bytes())?;
     if head.version != bundle.content.version {
@@ -142,8 +149,8 @@
     Ok(())
 }
 
-fn show(file: &str) -> eyre::Result<()> {
-    let bundle = read(file)?.content;
+fn show_file(file: &str) -> eyre::Result<()> {
+    let bundle = read_bundle(file)?.content;
     println!("version   {}", bundle.version);
     println!("models    {}", bundle.models.join(", "));
     println!("adapters  {}", bundle.adapters.len());
@@ -161,7 +168,7 @@
     Ok(())
 }
 
-/// A route in one line.
+/// Formats a route on one line.
 fn route_line(route: &RouteRecord) -> String {
     let targets: Vec<String> =
         route.targets.iter().map(|share| format!("{}:{}", share.service, share.weight)).collect();
@@ -179,25 +186,26 @@
     )
 }
 
-/// Prints what changes between two bundles, an adapter or route a line.
-fn diff(older: &str, newer: &str) -> eyre::Result<()> {
-    let (older, newer) = (read(older)?, read(newer)?);
+/// Prints the differences between two bundles, one line for each adapter or route, and the size of
+/// the delta.
+fn diff_files(older: &str, newer: &str) -> eyre::Result<()> {
+    let (older, newer) = (read_bundle(older)?, read_bundle(newer)?);
     println!("version {} -> {}", older.content.version, newer.content.version);
     for (name, entry) in &newer.content.adapters {
         match older.content.adapters.get(name) {
             None => println!("+ {name} {entry:?}"),
-            Some(before) if before != entry => println!("~ {name} {before:?} -> {entry:?}"),
+            Some(old) if old != entry => println!("~ {name} {old:?} -> {entry:?}"),
             Some(_) => {},
         }
     }
-    let is_gone = |name: &&std::sync::Arc<str>| !newer.content.adapters.contains_key(*name);
-    for name in older.content.adapters.keys().filter(is_gone) {
+    let is_removed = |name: &&std::sync::Arc<str>| !newer.content.adapters.contains_key(*name);
+    for name in older.content.adapters.keys().filter(is_removed) {
         println!("- {name}");
     }
     diff_routes(&older.content.routes, &newer.content.routes);
     let delta = compute((older.content.version, &older.text), (newer.content.version, &newer.text));
     let size = serde_json::to_string(&delta)?.len();
-    println!("the difference has {size} bytes, the whole text {}", newer.text.len());
+    println!("the delta has {size} bytes, the full text {}", newer.text.len());
     Ok(())
 }
 
--- a/quillcove/src/bundle/mod.rs
+++ b/quillcove/src/bundle/mod.rs
@@ -1,4 +1,5 @@
-//! The bundle in this process: where it is read from, and the operators' commands for it.
+//! Fetching of the signed bundle from the platform, sharing of the one in force within the process,
+//! and the operators' commands for bundles.
 
 pub mod command;
 pub mod shelf;
@@ -6,10 +7,10 @@
 
 use quillcove_core::ids::BundleVersion;
 
-/// Name of the platform's value that announces the newest bundle.
+/// Name of the platform's value that holds the head of the newest bundle.
 pub const HEAD_VALUE: &str = "bundle-head";
 
-/// Name of the platform's value with a bundle's whole text.
+/// Returns the name of the platform's value that holds the full text of a bundle.
 ///
 /// ```
 /// assert_eq!(quillcove::bundle::text_value(7), "bundle-text-7");
@@ -18,7 +19,7 @@
     format!("bundle-text-{version}")
 }
 
-/// Name of the platform's value with the difference from the version before.
+/// Returns the name of the platform's value that holds the delta from the version before.
 ///
 /// ```
 /// assert_eq!(quillcove::bundle::delta_value(7), "bundle-delta-7");
--- a/quillcove/src/bundle/shelf.rs
+++ b/quillcove/src/bundle/shelf.rs
@@ -1,11 +1,12 @@
-//! The bundle in force, shared between the duties of a process.
+//! The bundle in force and the host list, shared between the threads of a process.
 
 use std::sync::{Arc, RwLock};
 
 use quillcove_core::bundle::gate::HeldBundle;
 use quillcove_core::entry::event::HostRecord;
 
-/// What the watching duty last learned, for the others to read.
+/// The latest bundle and host list found by [`FleetWatch`](super::watch::FleetWatch), for other
+/// threads to read. Clones share their content.
 #[derive(Clone, Default)]
 pub struct FleetShelf {
     bundle: Arc<RwLock<Option<HeldBundle>>>,
@@ -13,7 +14,7 @@
 }
 
 impl FleetShelf {
-    /// The bundle in force.
+    /// Returns the bundle in force.
     ///
     /// ```
     /// assert!(quillcove::bundle::shelf::FleetShelf::default().bundle().is_none());
@@ -22,7 +23,7 @@
         self.bundle.read().expect("no writer panics").clone()
     }
 
-    /// Puts a bundle in force.
+    /// Replaces the bundle in force; `None` leaves none in force.
     ///
     /// ```
     /// quillcove::bundle::shelf::FleetShelf::default().set_bundle(None);
@@ -31,7 +32,7 @@
         *self.bundle.write().expect("no writer panics") = bundle;
     }
 
-    /// The last host list read.
+    /// Returns the host list that was read last.
     ///
     /// ```
     /// assert!(quillcove::bundle::shelf::FleetShelf::default().hosts().is_empty());
@@ -40,7 +41,7 @@
         self.hosts.read().expect("no writer panics").clone()
     }
 
-    /// Puts a host list on the shelf.
+    /// Replaces the host list.
     ///
     /// ```
     /// quillcove::bundle::shelf::FleetShelf::default().set_hosts(Vec::new());
--- a/quillcove/src/bundle/watch.rs
+++ b/quillcove/src/bundle/watch.rs
@@ -1,8 +1,8 @@
-//! The duty that watches the platform: the newest bundle and the host list.
+//! Watches the platform for new bundles and changes of the host list, by long polling.
 //!
-//! A change travels as a difference; the whole text is read only by a process that holds none or
-//! one too old. While the platform can not be read, other agents are asked: the signature makes
-//! it of no matter who passes a bundle on.
+//! A change of the bundle is fetched as a delta; the full text is fetched only by a process that
+//! holds no bundle or one that is too old. While the platform can not be read, bundles are fetched
+//! from other agents, which need not be trusted, because each bundle's signature is verified.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,43 +25,44 @@
 use crate::platform::{HostList, PlatformPort};
 use crate::web::client::WebError;
 
-/// Differences that are followed one after the other before the whole text is read instead.
+/// Largest number of deltas that are applied in sequence; beyond it, the full text is fetched.
 const DELTA_LIMIT: u64 = 32;
 
-/// Pause after a read that failed; drawn anew each time up to twice this, so that processes do
-/// not come back together.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+/// Delay after a failed read, multiplied each time by a random factor from 0.5 to 2, so that
+/// processes do not retry at the same time.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest time for one call to a peer.
+/// Timeout of a call to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Peers asked in one round while the platform can not be read.
-const PEERS_ASKED: usize = 3;
+/// Number of peers called in a round that looks for a newer bundle.
+const PEERS_PER_ROUND: usize = 3;
 
-/// Hosts up to which a watch takes its plain time; beyond them the time grows with the fleet.
-const HOSTS_FOR_ONE_WATCH: f64 = 100.0;
+/// Number of hosts up to which a watch lasts `watch_time`; beyond it, the time grows in proportion
+/// to the number of hosts.
+const HOSTS_FOR_BASE_WATCH_TIME: f64 = 100.0;
 
-/// What the watching duty tells the deciding one.
+/// Event that the watch passes to the thread that makes decisions.
 #[derive(Clone, Debug)]
 pub enum WatchNews {
-    /// A bundle is in force.
+    /// A newer bundle is in force.
     Bundle(Arc<FleetBundle>),
-    /// The host list was read, or could not be read.
+    /// The host list was read; `None` if it could not be read.
     Hosts(Option<Vec<HostRecord>>),
 }
 
-/// What the deciding duty asks of the watching one.
+/// Request from the thread that makes decisions to the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchAsk {
     /// Read the host list now.
     ReadHosts,
-    /// Ask other agents for a newer bundle.
+    /// Look for a newer bundle at other agents.
     SeekBundle,
-    /// The upstream acted on this version.
+    /// Accept no version lower than this one, on which the upstream acted.
     Witness(BundleVersion),
 }
 
-/// The watching duty.
+/// Watches the platform and keeps the shared bundle and host list up to date.
 pub struct FleetWatch<P, N> {
     platform: P,
     platform_section: PlatformSection,
@@ -77,7 +78,7 @@
 }
 
 impl<P: PlatformPort, N: Fn(WatchNews)> FleetWatch<P, N> {
-    /// A watch that tells its news through the given function.
+    /// Creates a watch that passes its events to `notify`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Watches until the asking side is gone.
+    /// Runs until the sending end of `asks` is dropped.
     ///
     /// ```no_run
     /// # async fn run<P: quillcove::platform::PlatformPort>(
@@ -125,47 +126,49 @@
     /// # }
     /// ```
     pub async fn run(mut self, mut asks: mpsc::Receiver<WatchAsk>) {
-        self.read_hosts().await;
-        self.read_bundle(Duration::ZERO).await;
-        // The platform may be stale, and this process has nothing yet to tell.
-        self.ask_peers().await;
+        self.fetch_hosts().await;
+        self.fetch_bundle(Duration::ZERO).await;
+        // The platform's copy may be stale; a process without an earlier bundle can not detect that.
+        self.fetch_from_peers().await;
         let mut hosts_call = NextCall::new();
         let mut bundle_call = NextCall::new();
         loop {
-            // Watches that are dropped lose nothing: the next ones name the same revisions.
-            let wait = self.watch_time();
+            // Dropping an unfinished watch loses nothing: the next one names the same revision.
+            let watch_time = self.watch_time();
             let hosts = async {
                 sleep_until(hosts_call.at).await;
-                self.platform.hosts(self.hosts_revision, hosts_call.wait(wait)).await
+                self.platform.hosts(self.hosts_revision, hosts_call.wait_time(watch_time)).await
             };
             let bundle = async {
                 sleep_until(bundle_call.at).await;
-                self.platform.value(HEAD_VALUE, self.revision, bundle_call.wait(wait)).await
+                self.platform
+                    .value(HEAD_VALUE, self.revision, bundle_call.wait_time(watch_time))
+                    .await
             };
             tokio::select! {
                 ask = asks.recv() => match ask {
                     None => return,
-                    Some(WatchAsk::ReadHosts) => self.read_hosts().await,
-                    Some(WatchAsk::SeekBundle) => self.ask_peers().await,
-                    Some(WatchAsk::Witness(version)) => self.witness(version).await,
+                    Some(WatchAsk::ReadHosts) => self.fetch_hosts().await,
+                    Some(WatchAsk::SeekBundle) => self.fetch_from_peers().await,
+                    Some(WatchAsk::Witness(version)) => self.record_used_version(version).await,
                 },
                 found = hosts => {
                     hosts_call = match found.is_ok() {
                         true => NextCall::after(self.platform_section.hosts_interval),
                         false => NextCall::after_failure(),
                     };
-                    self.take_hosts(found);
+                    self.apply_hosts(found);
                 },
                 found = bundle => match found {
                     Ok(Some(value)) => {
-                        bundle_call = match self.take_head(value.revision, &value.content).await {
+                        bundle_call = match self.apply_head(value.revision, &value.content).await {
                             true => NextCall::new(),
                             false => NextCall::after_failure(),
                         };
                     },
                     Ok(None) => bundle_call = NextCall::new(),
                     Err(_) => {
-                        self.ask_peers().await;
+                        self.fetch_from_peers().await;
                         bundle_call = NextCall::after_failure();
                     },
                 },
@@ -173,22 +176,24 @@
         }
     }
 
-    /// Time of one watch. It grows with the fleet, so that the platform's calls do not; it is
-    /// drawn anew each time, so that watches do not end together.
+    /// Returns the duration of the next watch. It grows with the number of hosts, so that the rate
+    /// of calls to the platform does not; a random factor keeps the hosts' watches from ending at
+    /// the same time.
     fn watch_time(&self) -> Duration {
         let hosts = self.shelf.hosts().len() as f64;
-        let share = rand::rng().random_range(0.75..1.25);
-        let growth = (hosts / HOSTS_FOR_ONE_WATCH).max(1.0);
-        self.platform_section.watch_time.mul_f64(share * growth)
+        let jitter = rand::rng().random_range(0.75..1.25);
+        let growth = (hosts / HOSTS_FOR_BASE_WATCH_TIME).max(1.0);
+        self.platform_section.watch_time.mul_f64(jitter * growth)
     }
 
-    /// Reads the host list without waiting for a change.
-    async fn read_hosts(&mut self) {
+    /// Fetches the host list without waiting for a change.
+    async fn fetch_hosts(&mut self) {
         let found = self.platform.hosts(self.hosts_revision, Duration::ZERO).await;
-        self.take_hosts(found);
+        self.apply_hosts(found);
     }
 
-    fn take_hosts(&mut self, found: Result<Option<HostList>, WebError>) {
+    /// Shares a host list that was read, and notifies of it or of the failure.
+    fn apply_hosts(&mut self, found: Result<Option<HostList>, WebError>) {
         let hosts = match found {
             Err(_) => None,
             Ok(None) => Some(self.shelf.hosts().to_vec()),
@@ -201,19 +206,20 @@
         (self.notify)(WatchNews::Hosts(hosts));
     }
 
-    async fn read_bundle(&mut self, wait: Duration) {
+    /// Fetches the newest bundle, from other agents if the platform can not be read.
+    async fn fetch_bundle(&mut self, wait: Duration) {
         match self.platform.value(HEAD_VALUE, self.revision, wait).await {
             Ok(Some(value)) => {
-                self.take_head(value.revision, &value.content).await;
+                self.apply_head(value.revision, &value.content).await;
             },
             Ok(None) => {},
-            Err(_) => self.ask_peers().await,
+            Err(_) => self.fetch_from_peers().await,
         }
     }
 
-    /// The upstream knows a newer bundle than this process: nothing is in force here until that
-    /// one or a newer is found.
-    async fn witness(&mut self, version: BundleVersion) {
+    /// Records that the upstream acted on a version. If this raises the lowest accepted version, no
+    /// bundle is in force here until that version or a newer one is found.
+    async fn record_used_version(&mut self, version: BundleVersion) {
         if version <= self.gate.floor() {
             return;
         }
@@ -221,15 +227,16 @@
         self.gate.witness(version);
         self.shelf.set_bundle(self.gate.in_force().cloned());
         self.revision = None;
-        self.ask_peers().await;
+        self.fetch_from_peers().await;
     }
 
-    /// Follows an announcement; `false` when its bundle could not be taken.
-    async fn take_head(&mut self, revision: u64, content: &[u8]) -> bool {
+    /// Fetches the bundle that a head announces, and offers it to the gate. Returns `false` if the
+    /// text could not be fetched and has to be tried again.
+    async fn apply_head(&mut self, revision: u64, content: &[u8]) -> bool {
         let head: BundleHead = match serde_json::from_slice(content) {
             Ok(head) => head,
             Err(error) => {
-                warn!(self.log, "the bundle's announcement can not be read"; "error" => %error);
+                warn!(self.log, "failed to parse the bundle's head"; "error" => %error);
                 self.revision = Some(revision);
                 return true;
             },
@@ -240,17 +247,19 @@
             return true;
         }
         let held_version = held.map_or(0, |held| held.version);
-        let text = match self.text_by_deltas(&head, held_version).await {
+        let text = match self.rebuild_text(&head, held_version).await {
             Some(text) => Some(text),
-            None => self.whole_text(head.version).await,
+            None => self.fetch_text(head.version).await,
         };
         let Some(text) = text else { return false };
-        self.offer(&head, &text);
+        self.offer_bundle(&head, &text);
         self.revision = Some(revision);
         true
     }
 
-    async fn text_by_deltas(&self, head: &BundleHead, held: BundleVersion) -> Option<String> {
+    /// Rebuilds the announced text from deltas. Returns `None` if no bundle is held, the deltas are
+    /// too many, or one of them can not be fetched or applied.
+    async fn rebuild_text(&self, head: &BundleHead, held: BundleVersion) -> Option<String> {
         let steps = head.version.checked_sub(held)?;
         if held == 0 || steps == 0 || steps > DELTA_LIMIT {
             return None;
@@ -264,13 +273,13 @@
         Some(text)
     }
 
-    async fn whole_text(&self, version: BundleVersion) -> Option<String> {
+    async fn fetch_text(&self, version: BundleVersion) -> Option<String> {
         let value = self.platform.value(&text_value(version), None, Duration::ZERO).await;
         String::from_utf8(value.ok()??.content.to_vec()).ok()
     }
 
-    /// Offers a bundle to the gate and tells the other duties when it is taken.
-    fn offer(&mut self, head: &BundleHead, text: &str) {
+    /// Offers a bundle to the gate; if it is accepted, shares it and notifies of it.
+    fn offer_bundle(&mut self, head: &BundleHead, text: &str) {
         match self.gate.offer(head, text) {
             Ok(GateChange::Same) => {},
             Ok(GateChange::Taken) => {
@@ -283,18 +292,18 @@
                 }
             },
             Err(error) => {
-                warn!(self.log, "bundle refused"; "version" => head.version, "error" => %error);
+                warn!(self.log, "bundle rejected"; "version" => head.version, "error" => %error);
             },
         }
     }
 
-    /// Asks a few other agents for a newer bundle.
-    async fn ask_peers(&mut self) {
-        for peer in self.some_peers() {
-            let asked = |client: crate::control::AgentControlClient, context| async move {
+    /// Fetches a newer bundle, if there is one, from a few other agents.
+    async fn fetch_from_peers(&mut self) {
+        for peer in self.choose_peers() {
+            let fetch_head = |client: crate::control::AgentControlClient, context| async move {
                 client.bundle_head(context).await
             };
-            let Ok(Some(head)) = self.pool.call(&peer, PEER_TIMEOUT, asked).await else {
+            let Ok(Some(head)) = self.pool.call(&peer, PEER_TIMEOUT, fetch_head).await else {
                 continue;
             };
             let held = self.gate.held().map_or(0, |held| held.head.version);
@@ -302,17 +311,17 @@
                 continue;
             }
             let digest = head.digest.clone();
-            let asked = |client: crate::control::AgentControlClient, context| async move {
+            let fetch_text = |client: crate::control::AgentControlClient, context| async move {
                 client.bundle_text(context, digest).await
             };
-            if let Ok(Some(text)) = self.pool.call(&peer, PEER_TIMEOUT, asked).await {
-                self.offer(&head, &text);
+            if let Ok(Some(text)) = self.pool.call(&peer, PEER_TIMEOUT, fetch_text).await {
+                self.offer_bundle(&head, &text);
             }
         }
     }
 
-    /// Peers drawn from the settings and the last host list.
-    fn some_peers(&self) -> Vec<String> {
+    /// Chooses peers at random from the settings and the last host list, without this process.
+    fn choose_peers(&self) -> Vec<String> {
         let hosts = self.shelf.hosts();
         let known = hosts.iter().map(|record| record.control.clone());
         let all = self.peers.iter().cloned().chain(known);
@@ -321,21 +330,21 @@
         others.sort();
         others.dedup();
         let mut chosen = Vec::new();
-        while chosen.len() < PEERS_ASKED && !others.is_empty() {
-            let place = rand::rng().random_range(0..others.len());
-            chosen.push(others.swap_remove(place));
+        while chosen.len() < PEERS_PER_ROUND && !others.is_empty() {
+            let index = rand::rng().random_range(0..others.len());
+            chosen.push(others.swap_remove(index));
         }
         chosen
     }
 }
 
-/// When the platform is asked next.
+/// Time and kind of the next call to the platform.
 #[derive(Clone, Copy, Debug)]
 struct NextCall {
     at: Instant,
-    /// Whether the call before failed. Nothing says then that the platform answers, and a watch
-    /// that it swallows would be waited for to its end.
-    follows_failure: bool,
+    /// Whether the call before failed. The call then asks for an immediate answer: if the platform
+    /// is still unreachable, a watch would detect that only after its full duration.
+    is_retry: bool,
 }
 
 impl NextCall {
@@ -343,18 +352,18 @@
         Self::after(Duration::ZERO)
     }
 
-    fn after(pause: Duration) -> Self {
-        Self { at: Instant::now() + pause, follows_failure: false }
+    fn after(delay: Duration) -> Self {
+        Self { at: Instant::now() + delay, is_retry: false }
     }
 
     fn after_failure() -> Self {
-        let pause = FAILURE_PAUSE.mul_f64(rand::rng().random_range(0.5..2.0));
-        Self { follows_failure: true, ..Self::after(pause) }
+        let delay = RETRY_DELAY.mul_f64(rand::rng().random_range(0.5..2.0));
+        Self { is_retry: true, ..Self::after(delay) }
     }
 
-    /// Time that the platform is asked to wait, of the time of a watch.
-    fn wait(self, watch_time: Duration) -> Duration {
-        match self.follows_failure {
+    /// Returns how long the platform may wait for a change before it answers: zero for a retry.
+    fn wait_time(self, watch_time: Duration) -> Duration {
+        match self.is_retry {
             true => Duration::ZERO,
             false => watch_time,
         }
