--- a/quillcove/src/bundle/command.rs
+++ b/quillcove/src/bundle/command.rs
@@ -164,7 +164,10 @@
     }
     println!("bodies    {} bytes in {} ms", bundle.limits.body_bytes, bundle.limits.body_time_ms);
     println!("loads     {} a second, {} at once", bundle.loads.per_second, bundle.loads.at_once);
-    println!("weights   stalls {}, batches {}", bundle.aims.stalls, bundle.aims.batches);
+    println!(
+        "weights   stalls {}, batches {}",
+        bundle.goal_weights.stalls, bundle.goal_weights.batches
+    );
     Ok(())
 }
 
--- a/quillcove_core/src/bundle/mod.rs
+++ b/quillcove_core/src/bundle/mod.rs
@@ -36,7 +36,7 @@
     /// Limits of loads from the weight store.
     pub loads: LoadLimits,
     /// Weights of the two optimization goals.
-    pub aims: AimWeights,
+    pub goal_weights: GoalWeights,
 }
 
 /// An adapter of the bundle.
@@ -93,14 +93,14 @@
 
 /// Relative weights of the two optimization goals, without unit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AimWeights {
+pub struct GoalWeights {
     /// Weight of short load stalls.
     pub stalls: f64,
     /// Weight of full batches.
     pub batches: f64,
 }
 
-impl Default for AimWeights {
+impl Default for GoalWeights {
     fn default() -> Self {
         Self { stalls: 1.0, batches: 1.0 }
     }
--- a/quillcove_core/src/bundle/text/mod.rs
+++ b/quillcove_core/src/bundle/text/mod.rs
@@ -11,7 +11,7 @@
 use toml::Spanned;
 
 use self::routes::RawRoute;
-use super::{AdapterEntry, AimWeights, BodyLimits, FleetBundle, LoadLimits, ServiceEntry};
+use super::{AdapterEntry, BodyLimits, FleetBundle, GoalWeights, LoadLimits, ServiceEntry};
 use crate::adapter::is_valid_name;
 use crate::ids::{AdapterVersion, BundleVersion, HostId};
 
@@ -104,7 +104,10 @@
     validator.validate_limits(raw.limits.as_ref());
     let bundle = FleetBundle {
         version: *raw.bundle.version.get_ref(),
-        aims: AimWeights { stalls: raw.bundle.stall_weight, batches: raw.bundle.batch_weight },
+        goal_weights: GoalWeights {
+            stalls: raw.bundle.stall_weight,
+            batches: raw.bundle.batch_weight,
+        },
         loads: raw.loads.as_ref().map(|loads| *loads.get_ref()).unwrap_or_default(),
         models: validator.convert_models(&raw.models),
         services: validator.convert_services(&raw.services),
