--- a/quillcove/src/loader/crashes.rs
+++ b/quillcove/src/loader/crashes.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Sends the crash records that are due to all relays.
+    /// Sends all relays the crash records that are due.
     pub(super) fn send_due_crashes(&mut self, is_heartbeat: bool, now: MonoTime) {
         for message in self.crashes.tell(is_heartbeat, now) {
             self.send(&PeerMessage::Crash(message), self.relays.all());
--- a/quillcove/src/loader/mod.rs
+++ b/quillcove/src/loader/mod.rs
@@ -1,5 +1,6 @@
 //! The loader: a small process beside one engine. It reads the engine's report, forwards it to the
-//! relays in heartbeats, and sends the engine the load orders that relays request.
+//! relays in heartbeats, and sends the engine the orders for which the load rate coordinator among
+//! the relays asks.
 //!
 //! A single task, `serve`, interleaves reports, orders and datagrams, so that all three share one
 //! state machine, [`LoaderMachine`], without locks.
