--- a/quillcove/src/relay/ends.rs
+++ b/quillcove/src/relay/ends.rs
@@ -1,4 +1,4 @@
-//! Whether a replica has ended, or only a connection to it.
+//! Detects whether a replica has exited when a connection to it breaks.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -15,29 +15,29 @@
 use super::request::OpenRequest;
 use super::shared::RelayShared;
 
-/// Pause before the port of a replica is looked at, in which a process that ends closes it, and in which the
-/// replica's other answers show that it lives. A busy replica is heard every few milliseconds, so that of the
-/// answers that break off for other reasons few cost a connection.
-const LOOK_PAUSE: Duration = Duration::from_millis(30);
+/// Delay before the port of a replica is probed. Within it, an exiting process closes the port, and other responses
+/// of a running replica show that it is alive. A busy replica sends data every few milliseconds, so that few
+/// responses that break off for other reasons cost a probe connection.
+const PROBE_DELAY: Duration = Duration::from_millis(30);
 
-/// Bytes that came before a replica ended may be read a little after the first of its connections broke.
-const READ_SLACK: Duration = Duration::from_millis(10);
+/// Time after the first broken connection within which bytes that a replica sent before its exit may still be read.
+const READ_GRACE_PERIOD: Duration = Duration::from_millis(10);
 
-/// Longest wait for an answer to the question whether a replica's port is open. A host that lives answers
-/// within a round trip, or within one second more where the question is lost.
-const PORT_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Timeout of one connection attempt to a replica's port. A running host answers within a round trip, or within one
+/// second more if the first packet is lost.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Questions before a host is taken to be silent.
-const PORT_TRIES: u32 = 2;
+/// Number of connection attempts before a host is taken to be silent.
+const PROBE_ATTEMPTS: u32 = 2;
 
-/// What a replica's port says of it.
+/// Result of probing a replica's port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PortState {
-    /// It takes connections.
+    /// The port accepts connections.
     Open,
-    /// Its host says that nobody listens there.
+    /// The host refuses the connection: no process listens.
     Closed,
-    /// Nothing is heard of its host: it has no power or is cut off, and no request does that.
+    /// The host does not answer: it has no power or is cut off, which no request can cause.
     Silent,
 }
 
@@ -51,9 +51,9 @@
     }
 }
 
-async fn look_at_port(address: SocketAddr) -> PortState {
-    for _ in 0..PORT_TRIES {
-        match timeout(PORT_TIMEOUT, TcpStream::connect(address)).await {
+async fn probe_port(address: SocketAddr) -> PortState {
+    for _ in 0..PROBE_ATTEMPTS {
+        match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(_)) => return PortState::Open,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
                 return PortState::Closed;
@@ -64,7 +64,7 @@
     PortState::Silent
 }
 
-/// Notes that the answer of a replica broke off, and finds out whether the replica has ended.
+/// Records that a replica's response broke off, and starts to detect whether the replica has exited.
 pub fn note_broken(open: &OpenRequest, order: &AttemptOrder) {
     let Some(identity) = open.query.identity else {
         return;
@@ -74,23 +74,23 @@
     info!(open.shared.log, "answer broke off"; "id" => &open.terms.id,
         "request" => %identity.digest, "caller" => format!("{:016x}", identity.caller),
         "replica" => &order.replica, "has_begun" => has_begun);
-    let broke = AnswerBreak { identity, has_begun, sent_at: open.sent_at };
-    let step = open.shared.machine().note_broken(order, broke, now);
+    let answer_break = AnswerBreak { identity, has_begun, sent_at: open.sent_at };
+    let step = open.shared.machine().note_broken(order, answer_break, now);
     match step {
-        BreakStep::Ask => drop(tokio::spawn(find_out(open.shared.clone(), order.clone(), now))),
-        // The end may be known already, and then this request is news.
+        BreakStep::Ask => drop(tokio::spawn(detect_exit(open.shared.clone(), order.clone(), now))),
+        // If the exit is known already, this request is a new crash record that has to be sent.
         BreakStep::Rest => open.shared.wanted.notify_one(),
     }
 }
 
-/// Finds out whether a replica has ended, and tells the machine.
-async fn find_out(shared: Arc<RelayShared>, order: AttemptOrder, broke_at: MonoTime) {
-    sleep(LOOK_PAUSE).await;
-    if shared.machine().is_heard_since(&order.replica, broke_at + READ_SLACK) {
+/// Detects whether a replica has exited, and reports the result to the machine.
+async fn detect_exit(shared: Arc<RelayShared>, order: AttemptOrder, broke_at: MonoTime) {
+    sleep(PROBE_DELAY).await;
+    if shared.machine().is_heard_since(&order.replica, broke_at + READ_GRACE_PERIOD) {
         shared.machine().deny_end(&order);
         return;
     }
-    let port = look_at_port(order.address).await;
+    let port = probe_port(order.address).await;
     let requests = match port {
         PortState::Closed => shared.machine().confirm_end(&order, shared.clock.now()),
         PortState::Open | PortState::Silent => {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Records why a request is refused that ends replicas.
+/// Logs the crash records for which a fatal request is rejected.
 pub fn log_cause(open: &OpenRequest) {
     let Some(identity) = open.query.identity else {
         return;
