--- a/quillcove/src/relay/events.rs
+++ b/quillcove/src/relay/events.rs
@@ -1,65 +1,69 @@
-//! Splits a stream of events into whole ones.
+//! Splits a server-sent event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of one event that are held back until it is whole.
-const EVENT_LIMIT: usize = 1 << 20;
+/// Maximum size of an incomplete event that is buffered, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// An event of a stream is longer than [`EVENT_LIMIT`].
+/// An event of a stream is longer than [`MAX_EVENT_BYTES`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct EventTooLong;
 
-/// Collects bytes and gives whole events back.
+/// Buffers received bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
-    /// Bytes of `held` already searched for an end.
+    buffered: BytesMut,
+    /// Number of bytes of `buffered` already searched for the end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes bytes as they arrived; gives all events that are whole now, in one piece.
+    /// Appends received bytes; returns all events that are complete now as one buffer, or `None` if there is none.
+    ///
+    /// # Errors
+    ///
+    /// When an incomplete event exceeds [`MAX_EVENT_BYTES`].
     pub fn take(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, EventTooLong> {
-        self.held.extend_from_slice(bytes);
-        let end = self.last_end();
+        self.buffered.extend_from_slice(bytes);
+        let end = self.complete_len();
         if let Some(end) = end {
             self.searched = 0;
-            return Ok(Some(self.held.split_to(end).freeze()));
+            return Ok(Some(self.buffered.split_to(end).freeze()));
         }
-        self.searched = self.held.len().saturating_sub(3);
-        match self.held.len() > EVENT_LIMIT {
+        self.searched = self.buffered.len().saturating_sub(3);
+        match self.buffered.len() > MAX_EVENT_BYTES {
             true => Err(EventTooLong),
             false => Ok(None),
         }
     }
 
-    /// Where the last whole event ends: after an empty line.
-    fn last_end(&self) -> Option<usize> {
-        let bytes = &self.held[self.searched..];
+    /// Returns the offset after the last complete event, which ends with an empty line.
+    fn complete_len(&self) -> Option<usize> {
+        let bytes = &self.buffered[self.searched..];
         let newlines = bytes.iter().enumerate().rev().filter(|(_, byte)| **byte == b'\n');
-        for (place, _) in newlines {
-            let before = &bytes[..place];
+        for (index, _) in newlines {
+            let before = &bytes[..index];
             let is_empty_line = before.ends_with(b"\n") || before.ends_with(b"\n\r");
             if is_empty_line {
-                return Some(self.searched + place + 1);
+                return Some(self.searched + index + 1);
             }
         }
         None
     }
 
-    /// Tells whether part of an event is held back.
+    /// Returns whether an incomplete event is buffered.
     pub fn holds_part(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffered.is_empty()
     }
 
-    /// Drops the part of an event that is held back.
+    /// Discards the incomplete event.
     pub fn clear(&mut self) {
-        self.held.clear();
+        self.buffered.clear();
         self.searched = 0;
     }
 }
 
-/// Id of the last event among whole ones; `None` when none of them has an id.
+/// Returns the id of the last event that has one; `None` if no event has an id.
 pub fn last_id(events: &[u8]) -> Option<String> {
     let mut lines = events.rsplit(|byte| *byte == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
