--- a/quillcove/src/relay/shared.rs
+++ b/quillcove/src/relay/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a relay share.
+//! State shared by the tasks of a relay.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,20 +15,20 @@
 use crate::config::relay::RelaySettings;
 use crate::metrics::ProcessMetrics;
 
-/// State of one relay.
+/// Shared state of one relay.
 pub struct RelayShared {
     pub settings: RelaySettings,
     pub log: Logger,
     pub clock: MonoClock,
     pub metrics: Arc<ProcessMetrics>,
     pub pool: ReplicaPool,
-    /// Rings when the process was suspended.
+    /// Notifies waits after a suspension of the process.
     pub wakes: WakeBell,
     pub is_ready: AtomicBool,
     pub waiters: AdapterWaiters,
-    /// Words of replicas that nothing here reads.
+    /// Response headers of replicas that this relay does not evaluate.
     pub unread: UnreadWords,
-    /// Wakes the duty that sends asks for adapters to loaders.
+    /// Notifies the input task that messages are to be sent, such as load requests.
     pub wanted: Notify,
     machine: Mutex<RelayMachine>,
 }
@@ -51,8 +51,9 @@
         })
     }
 
-    /// The machine that decides. Nobody holds it across a wait, so it is never contended for
-    /// long; a panic while it was held leaves it in a usable state, as each call is whole.
+    /// Locks the state machine that makes the relay's decisions. No task holds the guard across an `await`, so the
+    /// lock is never contended for long. A panic under the lock leaves the machine usable, as each call is complete
+    /// in itself.
     pub fn machine(&self) -> MutexGuard<'_, RelayMachine> {
         self.machine.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/quillcove/src/relay/wake.rs
+++ b/quillcove/src/relay/wake.rs
@@ -1,4 +1,4 @@
-//! Waits that end on time although the process was suspended.
+//! Waits that keep their deadline across a suspension of the process.
 
 use std::pin::pin;
 
@@ -8,23 +8,23 @@
 
 use crate::clock::MonoClock;
 
-/// Lets waits look at the clock again after the process was suspended: the runtime's timers stand still
-/// meanwhile, so that a request's time would be over too late by as long.
+/// Makes waits read the clock again after a suspension of the process. The runtime's timers do not advance during a
+/// suspension, so that a request's deadline would pass too late by its length.
 pub struct WakeBell {
-    woken: Notify,
+    resumed: Notify,
 }
 
 impl WakeBell {
     pub fn new() -> Self {
-        Self { woken: Notify::new() }
+        Self { resumed: Notify::new() }
     }
 
-    /// Makes all waits look at the clock.
+    /// Makes all waits read the clock again.
     pub fn ring(&self) {
-        self.woken.notify_waiters();
+        self.resumed.notify_waiters();
     }
 
-    /// Waits for something until this time at the latest; `None` when the time is over first.
+    /// Awaits a future until a deadline; returns `None` if the deadline passes first.
     pub async fn wait_until<F: Future>(
         &self,
         clock: &MonoClock,
@@ -33,13 +33,13 @@
     ) -> Option<F::Output> {
         let mut awaited = pin!(awaited);
         loop {
-            let woken = self.woken.notified();
+            let resumed = self.resumed.notified();
             let left = until.saturating_sub(clock.now());
             tokio::select! {
                 biased;
                 output = &mut awaited => return Some(output),
                 () = sleep(left) => return None,
-                () = woken => {},
+                () = resumed => {},
             }
         }
     }
--- a/quillcove/src/relay/words.rs
+++ b/quillcove/src/relay/words.rs
@@ -1,12 +1,13 @@
-//! Words of replicas that no code reads: each is shown once, so that the first day that brings one is seen.
+//! Response headers of replicas that no code evaluates. Each name is logged once, so that operators notice when a new
+//! one appears.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
 
-/// Names that are kept; a replica that makes up names does not fill the memory or the log.
-const MOST_NAMES: usize = 16;
+/// Maximum number of names stored, so that a replica that makes up names does not fill the memory or the log.
+const MAX_NAMES: usize = 16;
 
-/// The names that were met.
+/// Names of unevaluated headers seen so far.
 ///
 /// ```
 /// use quillcove::relay::words::UnreadWords;
@@ -21,13 +22,13 @@
 }
 
 impl UnreadWords {
-    /// Tells whether a name is met for the first time, as long as few were met.
+    /// Returns whether a name is seen for the first time; `false` for a new name once the maximum number is stored.
     ///
     /// ```
     /// assert!(quillcove::relay::words::UnreadWords::default().is_first("server-mood"));
     /// ```
     pub fn is_first(&self, name: &str) -> bool {
         let mut names = self.names.lock().unwrap_or_else(PoisonError::into_inner);
-        names.len() < MOST_NAMES && names.insert(name.to_string())
+        names.len() < MAX_NAMES && names.insert(name.to_string())
     }
 }
