--- a/quillcove/src/relay/follow.rs
+++ b/quillcove/src/relay/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's store: reads each part whole, then waits for its changes.
+//! Follows the platform's store: reads each part in full, then watches it for changes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,69 +23,68 @@
 use crate::config::relay::StoreSection;
 use crate::web::client::{WebClient, WebError};
 
-/// Longest time between looks whether the process is over while nothing is to be read.
-const ORDER_CHECK: Duration = Duration::from_secs(1);
+/// Interval at which an idle task checks whether the process is stopping.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time that unused connections to the store are kept.
+/// Time for which unused connections to the store are kept open.
 const IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// News of the store for the serving duty.
+/// Result of a call to the store, for the input task.
 #[derive(Debug)]
-pub enum StoreNews {
-    /// A part was read whole, or changes of it came.
+pub enum StoreUpdate {
+    /// A part was read in full, or its changes were received.
     Read(StoreReading),
     /// A call failed.
     Failed { part: StorePart, reason: String },
 }
 
-/// What a call brought.
+/// Data read by one or more calls to the store.
 #[derive(Debug)]
 pub struct StoreReading {
-    /// Which part.
     pub part: StorePart,
-    /// Whether all of it was read.
-    pub is_whole: bool,
-    /// Revision after which the changes are; `None` for a whole part.
+    /// Whether the part was read in full.
+    pub is_full: bool,
+    /// Revision that the changes follow; `None` for a full read.
     pub after: Option<u64>,
-    /// What is there, or what changed.
+    /// Entries of a full read, or changes.
     pub events: Vec<StoreEvent>,
     /// Revision of each event.
     pub changed_at: Vec<u64>,
-    /// Position up to which the part is known.
+    /// Position up to which the part is known after this read.
     pub position: StorePosition,
-    /// A moment of which it is known that all that was published before is among what is known now.
+    /// Time up to which everything published is known after this read.
     pub complete_at: MonoTime,
-    /// The same, proved: when the call began. The store may have answered a watch early and its answer
-    /// may have been long on its way, so that the time at which it came proves nothing.
+    /// Time up to which everything published is proved to be known: the start of the call. The store may have
+    /// answered a watch early and the response may have been delayed, so the time of its arrival proves nothing.
     pub proved_at: Option<MonoTime>,
 }
 
-/// What the serving duty wants to be read.
+/// Instructions of the input task to the store follower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowOrder {
     /// Whether this relay watches the store.
     pub duty: StoreDuty,
-    /// Longest watches.
+    /// Maximum durations of watches.
     pub watch_times: WatchTimes,
-    /// Grows with each reading of the operator's part that is wanted of a relay that is told.
-    pub wanted_operator: u64,
-    /// The same for the replicas' part.
-    pub wanted_replicas: u64,
-    /// Positions up to which the parts are known.
-    pub known: ReadPositions,
+    /// Number of single reads of the operator's part requested so far while this relay does not watch the store.
+    pub operator_reads: u64,
+    /// Number of single reads of the replicas' part requested so far.
+    pub replica_reads: u64,
+    /// Positions up to which the input task knows the parts.
+    pub known_positions: ReadPositions,
 }
 
-/// Longest watches of a relay that watches the store; `None` for as long as the settings allow.
+/// Maximum durations of a direct reader's watches; `None` for the maximum that the settings allow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchTimes {
-    /// Of what the operator writes.
+    /// For the part that the operator writes.
     pub operator: Option<Duration>,
-    /// Of the listing of replicas.
+    /// For the listing of replicas.
     pub replicas: Option<Duration>,
 }
 
 impl WatchTimes {
-    /// The watches of one of many relays that tell each other.
+    /// Returns the maximum durations for a relay of a large fleet, in which followers depend on direct readers.
     pub fn of(rules: &DutyRules) -> Self {
         Self {
             operator: rules.watch_time(StorePart::Operator),
@@ -95,23 +94,23 @@
 }
 
 impl FollowOrder {
-    fn wanted(&self, part: StorePart) -> u64 {
+    fn requested_reads(&self, part: StorePart) -> u64 {
         match part {
-            StorePart::Operator => self.wanted_operator,
-            StorePart::Replicas => self.wanted_replicas,
+            StorePart::Operator => self.operator_reads,
+            StorePart::Replicas => self.replica_reads,
         }
     }
 
-    /// Asks for one reading of a part.
-    pub fn want(&mut self, part: StorePart) {
+    /// Requests one read of a part.
+    pub fn request_read(&mut self, part: StorePart) {
         match part {
-            StorePart::Operator => self.wanted_operator += 1,
-            StorePart::Replicas => self.wanted_replicas += 1,
+            StorePart::Operator => self.operator_reads += 1,
+            StorePart::Replicas => self.replica_reads += 1,
         }
     }
 
-    /// Longest time that a call may wait for a change of a part.
-    fn longest_watch(&self, part: StorePart) -> Duration {
+    /// Returns the longest time for which a call may wait for a change of a part.
+    fn max_watch_time(&self, part: StorePart) -> Duration {
         let longest = match part {
             StorePart::Operator => self.watch_times.operator,
             StorePart::Replicas => self.watch_times.replicas,
@@ -123,48 +122,48 @@
     }
 }
 
-/// A call for the changes of a part.
+/// Request for the changes of a part.
 #[derive(Clone, Copy, Debug)]
-struct PartCall {
+struct ChangesCall {
     part: StorePart,
-    /// Position after which changes are asked for.
+    /// Position after which changes are requested.
     after: StorePosition,
-    /// Time that the store may wait for one.
+    /// Time for which the store may wait for a change.
     wait: Duration,
-    /// Longest time for the answer.
+    /// Timeout of the call.
     limit: Duration,
     began: MonoTime,
 }
 
-/// A part as it was read whole.
+/// Full content of a part.
 #[derive(Debug, Default)]
-struct WholePart {
+struct PartContent {
     events: Vec<RevisedEvent>,
-    /// Position up to which all changes are among them.
+    /// Position up to which the events include all changes.
     position: StorePosition,
     is_sheet_lost: bool,
 }
 
-/// An answer as it came.
-struct StoreReply {
+/// Response of the store.
+struct StoreResponse {
     status: StatusCode,
-    /// Era of the store in which it was given.
+    /// Era of the store when it responded.
     era: StoreEra,
     body: bytes::Bytes,
 }
 
-/// Why a call brought nothing.
+/// Failure of a call to the store.
 #[derive(Debug, thiserror::Error)]
 enum FollowError {
     #[error(transparent)]
     Web(#[from] WebError),
     #[error(transparent)]
     Wire(#[from] WireFault),
-    #[error("the store does not have the changes")]
+    #[error("store no longer has the requested changes")]
     HistoryGone,
-    #[error("the store has come back from a copy, in era {0}")]
+    #[error("store was restored from an older copy and is now in era {0}")]
     LaterEra(StoreEra),
-    #[error("the answer is from era {found}, before era {known}")]
+    #[error("response is from era {found}, before the known era {known}")]
     EarlierEra { found: StoreEra, known: StoreEra },
 }
 
@@ -172,11 +171,11 @@
 pub struct StoreFollower {
     section: StoreSection,
     address: SocketAddr,
-    /// Longest watch of what the operator writes that keeps the proof of valid keys young enough.
-    proof_watch: Duration,
-    ring: mpsc::Sender<StoreNews>,
-    hurried: watch::Receiver<u64>,
-    orders: watch::Receiver<FollowOrder>,
+    /// Longest watch of the operator's part that keeps the freshness proof for keys recent enough.
+    max_proof_watch: Duration,
+    updates: mpsc::Sender<StoreUpdate>,
+    rereads: watch::Receiver<u64>,
+    instructions: watch::Receiver<FollowOrder>,
     clock: MonoClock,
     log: Logger,
 }
@@ -185,52 +184,53 @@
     pub fn new(
         section: &StoreSection,
         right: &RightRules,
-        ring: mpsc::Sender<StoreNews>,
-        hurried: watch::Receiver<u64>,
-        orders: watch::Receiver<FollowOrder>,
+        updates: mpsc::Sender<StoreUpdate>,
+        rereads: watch::Receiver<u64>,
+        instructions: watch::Receiver<FollowOrder>,
         clock: MonoClock,
         log: Logger,
     ) -> Self {
-        let proof_watch = right.watch_time().unwrap_or(Duration::MAX);
+        let max_proof_watch = right.watch_time().unwrap_or(Duration::MAX);
         let (section, address) = (section.clone(), section.address);
-        Self { section, address, proof_watch, ring, hurried, orders, clock, log }
+        Self { section, address, max_proof_watch, updates, rereads, instructions, clock, log }
     }
 
-    /// Follows until the process ends.
-    pub async fn run(self, is_over: Arc<AtomicBool>) {
+    /// Follows both parts until the process stops.
+    pub async fn run(self, is_stopping: Arc<AtomicBool>) {
         let follower = Arc::new(self);
-        let operator = follower.clone().follow(StorePart::Operator, is_over.clone());
-        let replicas = follower.follow(StorePart::Replicas, is_over);
+        let operator = follower.clone().follow(StorePart::Operator, is_stopping.clone());
+        let replicas = follower.follow(StorePart::Replicas, is_stopping);
         tokio::join!(operator, replicas);
     }
 
-    async fn follow(self: Arc<Self>, part: StorePart, is_over: Arc<AtomicBool>) {
+    async fn follow(self: Arc<Self>, part: StorePart, is_stopping: Arc<AtomicBool>) {
         let mut follower = PartFollower::new(self.rules(part));
         let mut client = self.new_client();
-        let mut orders = self.orders.clone();
-        let mut done = 0;
+        let mut receiver = self.instructions.clone();
+        let mut reads_done = 0;
         let mut is_first = true;
-        while !is_over.load(Ordering::Relaxed) {
-            let order = *orders.borrow_and_update();
-            let is_wanted = order.duty == StoreDuty::Watches || order.wanted(part) != done;
-            if follower.is_settled() && !is_wanted {
-                // Either there is a new order, or the process may be over.
-                let _ = timeout(ORDER_CHECK, orders.changed()).await;
+        while !is_stopping.load(Ordering::Relaxed) {
+            let instructions = *receiver.borrow_and_update();
+            let has_to_read = instructions.duty == StoreDuty::Watches
+                || instructions.requested_reads(part) != reads_done;
+            if follower.is_settled() && !has_to_read {
+                // Ends on new instructions, or to check whether the process is stopping.
+                let _ = timeout(STOP_CHECK_INTERVAL, receiver.changed()).await;
                 continue;
             }
-            done = order.wanted(part);
-            follower.know(order.known.of(part));
+            reads_done = instructions.requested_reads(part);
+            follower.know(instructions.known_positions.of(part));
             let began = self.clock.now();
-            let call = follower.next_call_within(order.longest_watch(part));
+            let call = follower.next_call_within(instructions.max_watch_time(part));
             let limit = follower.limit(call);
             let read = match call {
-                // After a failure nothing is left to what may be old.
+                // Only the first attempt may use stale data; after a failure, all data is read fresh.
                 StoreCall::Whole if std::mem::take(&mut is_first) => {
                     self.read_first(&client, part, follower.era()).await
                 },
-                StoreCall::Whole => self.read_whole(&client, part, follower.era(), began).await,
+                StoreCall::Whole => self.read_full(&client, part, follower.era(), began).await,
                 StoreCall::Changes { after, wait } => {
-                    let call = PartCall { part, after, wait, limit, began };
+                    let call = ChangesCall { part, after, wait, limit, began };
                     self.read_changes(&client, &call).await
                 },
             };
@@ -243,15 +243,15 @@
                     follower.forget();
                 },
                 Err(error) => {
-                    // Each one is told, not only the first: the time that a call takes to fail
-                    // decides how old this relay's knowledge gets.
+                    // Every failure is logged, not only the first: the time that a call takes to fail
+                    // determines how old this relay's knowledge gets.
                     warn!(self.log, "call of the store failed"; "part" => ?part,
                         "position" => follower.position().map(|known| known.to_string()),
                         "wait_ms" => wait_ms(call),
                         "took_ms" => self.clock.now().saturating_sub(began).as_millis() as u64,
                         "reason" => %error);
-                    self.tell(StoreNews::Failed { part, reason: error.to_string() }).await;
-                    // Connections that are kept may be as silent as the one that failed.
+                    self.send(StoreUpdate::Failed { part, reason: error.to_string() }).await;
+                    // Other open connections may be as unresponsive as the one that failed.
                     client = self.new_client();
                     sleep(follower.take_failure()).await;
                 },
@@ -264,60 +264,63 @@
     }
 
     fn rules(&self, part: StorePart) -> FollowRules {
-        // Changes gather before the next watch, as each call has its price.
-        let (gather_time, longest_watch) = match part {
-            StorePart::Operator => (self.section.duty_rules().operator_gather, self.proof_watch),
+        // Changes accumulate before the next watch, as each call has a cost.
+        let (gather_time, max_watch_time) = match part {
+            StorePart::Operator => {
+                (self.section.duty_rules().operator_gather, self.max_proof_watch)
+            },
             StorePart::Replicas => (self.section.gather_time, Duration::MAX),
         };
         let StoreSection { watch_time, timeout, contact_time, .. } = self.section;
-        let watch_time = watch_time.min(longest_watch);
+        let watch_time = watch_time.min(max_watch_time);
         FollowRules { watch_time, timeout, contact_time, gather_time }
     }
 
-    /// Reads a part whole.
-    async fn read_whole(
+    /// Reads a part in full.
+    async fn read_full(
         &self,
         client: &WebClient,
         part: StorePart,
         known: StoreEra,
         began: MonoTime,
     ) -> Result<StorePosition, FollowError> {
-        let whole = self.read_pages(client, part, known, RangeAge::Fresh).await?;
-        // All that was published before the call began is in its answer.
-        self.tell_whole(part, whole, began).await
+        let content = self.read_pages(client, part, known, RangeAge::Fresh).await?;
+        // The response includes everything published before the call began.
+        self.send_full(part, content, began).await
     }
 
-    /// Reads a part whole for the first time. All relays do so when the system starts, each over several pages, so that
-    /// what may be old is asked for, and then what has changed since.
+    /// Reads a part in full for the first time. As all relays do so when the system starts, each over several pages,
+    /// this requests pages that may be stale, and then the changes since.
     async fn read_first(
         &self,
         client: &WebClient,
         part: StorePart,
         known: StoreEra,
     ) -> Result<StorePosition, FollowError> {
-        let mut whole = self.read_pages(client, part, known, RangeAge::MayBeOld).await?;
+        let mut content = self.read_pages(client, part, known, RangeAge::MayBeOld).await?;
         let began = self.clock.now();
         let limit = self.section.timeout;
-        let call = PartCall { part, after: whole.position, wait: Duration::ZERO, limit, began };
-        let since = self.ask_changes(client, &call).await?;
-        whole.position = since.position();
+        let call =
+            ChangesCall { part, after: content.position, wait: Duration::ZERO, limit, began };
+        let since = self.fetch_changes(client, &call).await?;
+        content.position = since.position();
         let changes = since.events.into_iter().zip(since.changed_at).collect();
-        apply_changes(&mut whole.events, changes);
-        whole.is_sheet_lost |= since.is_sheet_lost;
-        self.tell_whole(part, whole, began).await
+        apply_changes(&mut content.events, changes);
+        content.is_sheet_lost |= since.is_sheet_lost;
+        self.send_full(part, content, began).await
     }
 
-    async fn tell_whole(
+    async fn send_full(
         &self,
         part: StorePart,
-        whole: WholePart,
+        content: PartContent,
         began: MonoTime,
     ) -> Result<StorePosition, FollowError> {
-        let WholePart { events, position, is_sheet_lost } = whole;
+        let PartContent { events, position, is_sheet_lost } = content;
         let (events, changed_at) = events.into_iter().unzip();
         let reading = StoreReading {
             part,
-            is_whole: true,
+            is_full: true,
             after: None,
             events,
             changed_at,
@@ -325,45 +328,49 @@
             complete_at: began,
             proved_at: (!is_sheet_lost).then_some(began),
         };
-        self.tell(StoreNews::Read(reading)).await;
+        self.send(StoreUpdate::Read(reading)).await;
         Ok(position)
     }
 
-    /// Reads all pages of a part; all are of one era, and of none before the known one.
+    /// Reads all pages of a part.
+    ///
+    /// # Errors
+    ///
+    /// When the pages are of different eras or of an era before the known one, or when a call fails.
     async fn read_pages(
         &self,
         client: &WebClient,
         part: StorePart,
         known: StoreEra,
         age: RangeAge,
-    ) -> Result<WholePart, FollowError> {
-        let mut whole = WholePart::default();
+    ) -> Result<PartContent, FollowError> {
+        let mut content = PartContent::default();
         let mut after: Option<String> = None;
         loop {
             let call = store::range_call(part, after.as_deref(), age);
-            let StoreReply { status, era, body } =
+            let StoreResponse { status, era, body } =
                 self.call(client, &call, self.section.timeout).await?;
             if !status.is_success() {
                 return Err(WireFault::Status { what: "range", status }.into());
             }
             let page = store::read_range(era, &body)?;
             self.report_faults(&page);
-            // Pages are no snapshot: changes since the oldest of them are read by the watch.
-            whole.position = match after {
+            // The pages do not form one snapshot; the watch reads the changes since the oldest of them.
+            content.position = match after {
                 Some(_) => {
-                    refuse_other_era(era, whole.position.era)?;
-                    whole.position.min(page.position())
+                    check_same_era(era, content.position.era)?;
+                    content.position.min(page.position())
                 },
                 None => {
-                    refuse_earlier_era(era, known)?;
+                    check_not_earlier_era(era, known)?;
                     page.position()
                 },
             };
-            whole.is_sheet_lost |= page.is_sheet_lost;
-            whole.events.extend(page.events.into_iter().zip(page.changed_at));
+            content.is_sheet_lost |= page.is_sheet_lost;
+            content.events.extend(page.events.into_iter().zip(page.changed_at));
             after = page.next_page;
             if after.is_none() {
-                return Ok(whole);
+                return Ok(content);
             }
         }
     }
@@ -371,27 +378,27 @@
     async fn read_changes(
         &self,
         client: &WebClient,
-        call: &PartCall,
+        call: &ChangesCall,
     ) -> Result<StorePosition, FollowError> {
-        let PartCall { part, after, wait, began, .. } = *call;
-        let mut hurried = self.hurried.clone();
-        hurried.mark_unchanged();
+        let ChangesCall { part, after, wait, began, .. } = *call;
+        let mut rereads = self.rereads.clone();
+        rereads.mark_unchanged();
         let answer = tokio::select! {
-            answer = self.ask_changes(client, call) => answer?,
-            _ = hurried.changed() => {
-                return self.read_whole(client, part, after.era, self.clock.now()).await;
+            answer = self.fetch_changes(client, call) => answer?,
+            _ = rereads.changed() => {
+                return self.read_full(client, part, after.era, self.clock.now()).await;
             },
         };
         let position = answer.position();
         let StoreAnswer { events, changed_at, is_empty, is_sheet_lost, .. } = answer;
-        // A watch that ends without a change was answered after its whole time, not before.
+        // A watch that ends without a change was answered only after its full wait.
         let complete_at = match is_empty && self.clock.now().saturating_sub(began) >= wait {
             true => began + wait,
             false => began,
         };
         let reading = StoreReading {
             part,
-            is_whole: false,
+            is_full: false,
             after: Some(after.revision),
             events,
             changed_at,
@@ -399,25 +406,25 @@
             complete_at,
             proved_at: (!is_sheet_lost).then_some(began),
         };
-        self.tell(StoreNews::Read(reading)).await;
+        self.send(StoreUpdate::Read(reading)).await;
         Ok(position)
     }
 
-    async fn ask_changes(
+    async fn fetch_changes(
         &self,
         client: &WebClient,
-        call: &PartCall,
+        call: &ChangesCall,
     ) -> Result<StoreAnswer, FollowError> {
         let watch = store::watch_call(call.part, call.after.revision, call.wait);
-        let StoreReply { status, era, body } = self.call(client, &watch, call.limit).await?;
+        let StoreResponse { status, era, body } = self.call(client, &watch, call.limit).await?;
         if store::is_history_gone(status) {
-            refuse_other_era(era, call.after.era)?;
+            check_same_era(era, call.after.era)?;
             return Err(FollowError::HistoryGone);
         }
         if !status.is_success() {
             return Err(WireFault::Status { what: "watch", status }.into());
         }
-        refuse_other_era(era, call.after.era)?;
+        check_same_era(era, call.after.era)?;
         let answer = store::read_watch(era, &body)?;
         self.report_faults(&answer);
         Ok(answer)
@@ -428,27 +435,27 @@
         client: &WebClient,
         call: &WireCall,
         limit: Duration,
-    ) -> Result<StoreReply, FollowError> {
+    ) -> Result<StoreResponse, FollowError> {
         let uri = format!("http://{}{}", self.address, call.path);
         let answer = client.fetch(Method::GET, &uri, bytes::Bytes::new(), limit).await?;
         let era = store::read_era(answer.headers())?;
-        Ok(StoreReply { status: answer.status(), era, body: answer.into_body() })
+        Ok(StoreResponse { status: answer.status(), era, body: answer.into_body() })
     }
 
     fn report_faults(&self, answer: &StoreAnswer) {
         for fault in &answer.faults {
-            warn!(self.log, "value of the store is not understood"; "fault" => %fault);
+            warn!(self.log, "cannot parse a value from the store"; "fault" => %fault);
         }
     }
 
-    async fn tell(&self, news: StoreNews) {
-        // The receiver is gone only when the process ends.
-        let _ = self.ring.send(news).await;
+    async fn send(&self, update: StoreUpdate) {
+        // The receiver is dropped only when the process exits.
+        let _ = self.updates.send(update).await;
     }
 }
 
-/// Refuses the changes after a position of another era: in a later one, revisions are given out again.
-fn refuse_other_era(found: StoreEra, known: StoreEra) -> Result<(), FollowError> {
+/// Rejects changes that follow a position of another era, as a later era reuses revisions.
+fn check_same_era(found: StoreEra, known: StoreEra) -> Result<(), FollowError> {
     match AnswerEra::judge(found, known) {
         AnswerEra::Earlier => Err(FollowError::EarlierEra { found, known }),
         AnswerEra::Known => Ok(()),
@@ -456,15 +463,15 @@
     }
 }
 
-/// Refuses a late answer, or one of a copy that is gone again.
-fn refuse_earlier_era(found: StoreEra, known: StoreEra) -> Result<(), FollowError> {
+/// Rejects a response of an earlier era: a delayed one, or one from an older copy that is no longer in use.
+fn check_not_earlier_era(found: StoreEra, known: StoreEra) -> Result<(), FollowError> {
     match AnswerEra::judge(found, known) {
         AnswerEra::Earlier => Err(FollowError::EarlierEra { found, known }),
         AnswerEra::Known | AnswerEra::Later => Ok(()),
     }
 }
 
-/// Time that a call asked the store to wait, for logs; `None` for one that reads a whole part.
+/// Returns the wait that a call requested of the store, for logs; `None` for a full read.
 fn wait_ms(call: StoreCall) -> Option<u64> {
     match call {
         StoreCall::Whole => None,
@@ -472,8 +479,8 @@
     }
 }
 
-/// The replicas among the events of a whole reading.
-pub fn replicas_of(events: Vec<StoreEvent>) -> Vec<ReplicaRecord> {
+/// Returns the replicas among the events of a full read.
+pub fn replica_records(events: Vec<StoreEvent>) -> Vec<ReplicaRecord> {
     let record = |event| match event {
         StoreEvent::Replica(record) => Some(record),
         StoreEvent::Sheet(_)
--- a/quillcove/src/relay/input/crashes.rs
+++ b/quillcove/src/relay/input/crashes.rs
@@ -1,7 +1,7 @@
-//! What this relay and others tell each other of requests under which replicas end.
+//! Exchange of crash records, which name the requests under which replicas exit.
 //!
-//! Each relay tells all others at once. Loaders keep what they are told, two of them for each end, for relays
-//! that start again: after a loss of all relays they are the ones who remember.
+//! Each relay sends new records to all others at once. Two loaders store each record for relays that restart, so that
+//! the records survive the loss of all relays.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,99 +15,106 @@
 
 use super::InputDuty;
 
-/// Loaders that are told of each end. One of them may be lost with the engine's host.
-const KEEPERS_OF_END: usize = 2;
+/// Number of loaders that store each crash record. One of them may be lost together with the engine's host.
+const LOADERS_PER_RECORD: usize = 2;
 
-/// Times that a relay asks for what it may have missed, one beacon apart: an ask or its answer may be lost.
-pub(super) const ASK_TIMES: u32 = 3;
+/// Number of requests for missed crash records, one heartbeat apart, as a request or its response may be lost.
+pub(super) const CRASH_REQUESTS: u32 = 3;
 
-/// Relays that tell one which starts what they know, before it has heard of them.
-const GREETERS: usize = 3;
+/// Number of relays that send their crash records, unrequested, to a relay that starts and does not know
+/// them yet.
+const OFFERING_RELAYS: usize = 3;
 
-/// Shortest time between two asks, so that a relay which hears hundreds at once asks few of them.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+/// Shortest time between two requests, so that a relay that discovers hundreds of others at once asks few of them.
+const CRASH_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
 impl InputDuty {
-    /// Takes what another process tells.
-    pub(super) fn take_crashes(&mut self, beacon: &CrashBeacon, from: SocketAddr, now: MonoTime) {
-        let news = self.shared.machine().crashes_mut().take(beacon, now);
-        if news > 0 {
-            info!(self.shared.log, "told of ended replicas"; "from" => %from, "news" => news);
+    /// Applies the crash records of another process.
+    pub(super) fn apply_crash_records(
+        &mut self,
+        message: &CrashBeacon,
+        from: SocketAddr,
+        now: MonoTime,
+    ) {
+        let new_records = self.shared.machine().crashes_mut().take(message, now);
+        if new_records > 0 {
+            info!(self.shared.log, "told of ended replicas"; "from" => %from, "news" => new_records);
         }
     }
 
-    /// Answers a relay that may have missed something.
-    pub(super) fn answer_crashes(&self, ask: CrashAsk, now: MonoTime) {
+    /// Sends all crash records to a relay that requests them.
+    pub(super) fn answer_crash_request(&self, request: CrashAsk, now: MonoTime) {
         let known = self.shared.machine().crashes().book().all(now);
         for message in in_messages(known) {
-            self.send(&PeerMessage::Crash(message), [ask.relay]);
+            self.send(&PeerMessage::Crash(message), [request.relay]);
         }
     }
 
-    /// Tells a relay that was heard for the first time what is known, if it is this relay's turn: three do, of
-    /// however many there are.
-    pub(super) fn greet_with_crashes(&self, host: &str, relay: SocketAddr, now: MonoTime) {
+    /// Sends all crash records to a newly discovered relay, if this relay is among the [`OFFERING_RELAYS`] relays that
+    /// rendezvous hashing selects for it.
+    pub(super) fn offer_crash_records(&self, host: &str, relay: SocketAddr, now: MonoTime) {
         let own = rendezvous::weight(host, &self.shared.settings.process.host);
         let others = self.relays.keys().filter(|other| *other != host);
         let before = others.filter(|other| rendezvous::weight(host, other) > own).count();
-        if before < GREETERS {
-            self.answer_crashes(CrashAsk { relay }, now);
+        if before < OFFERING_RELAYS {
+            self.answer_crash_request(CrashAsk { relay }, now);
         }
     }
 
-    /// Tells what is new, and with a beacon what was told lately.
-    pub(super) fn tell_crashes(&self, is_beacon: bool, now: MonoTime) {
-        let messages = self.shared.machine().crashes_mut().tell(is_beacon, now);
+    /// Sends new crash records, and with a heartbeat repeats recent ones.
+    pub(super) fn send_crash_records(&self, with_heartbeat: bool, now: MonoTime) {
+        let messages = self.shared.machine().crashes_mut().tell(with_heartbeat, now);
         for message in messages {
-            let keepers = self.keepers_of(&message);
+            let loaders = self.loaders_storing(&message);
             let relays = self.relays.values().map(|known| known.address);
-            let receivers: Vec<SocketAddr> = relays.chain(keepers).collect();
+            let receivers: Vec<SocketAddr> = relays.chain(loaders).collect();
             self.send(&PeerMessage::Crash(message), receivers);
         }
     }
 
-    /// Loaders that keep what a message tells.
-    fn keepers_of(&self, message: &CrashBeacon) -> Vec<SocketAddr> {
+    /// Returns the loaders that store the crash records of a message.
+    fn loaders_storing(&self, message: &CrashBeacon) -> Vec<SocketAddr> {
         let loaders = self.loaders_of_engines();
-        let mut keepers: Vec<SocketAddr> = Vec::new();
+        let mut storing: Vec<SocketAddr> = Vec::new();
         for report in &message.ends {
             let mut ranked: Vec<(u64, SocketAddr)> =
                 loaders.iter().map(|(_, loader)| (rank(report.end, *loader), *loader)).collect();
             ranked.sort_unstable_by(|one, other| other.cmp(one));
-            keepers.extend(ranked.into_iter().take(KEEPERS_OF_END).map(|(_, loader)| loader));
+            storing.extend(ranked.into_iter().take(LOADERS_PER_RECORD).map(|(_, loader)| loader));
         }
-        keepers.sort_unstable();
-        keepers.dedup();
-        keepers
+        storing.sort_unstable();
+        storing.dedup();
+        storing
     }
 
-    /// Begins to ask for what this relay may have missed, as it has just started, was paused or cut off.
-    pub(super) fn miss_crashes(&mut self, now: MonoTime) {
-        self.crash_asks = ASK_TIMES;
-        if now.saturating_sub(self.crash_asked_at) >= ASK_PAUSE {
-            self.ask_for_crashes(now);
+    /// Starts to request missed crash records, after a start, a suspension or a loss of connectivity.
+    pub(super) fn start_crash_requests(&mut self, now: MonoTime) {
+        self.crash_requests_left = CRASH_REQUESTS;
+        if now.saturating_sub(self.crash_requested_at) >= CRASH_REQUEST_INTERVAL {
+            self.request_crash_records(now);
         }
     }
 
-    /// Asks for what this relay may have missed: one other relay, in turn, and the loaders.
-    pub(super) fn ask_for_crashes(&mut self, now: MonoTime) {
-        // Who is cut off from the other relays may still be heard by loaders.
-        if self.crash_asks == 0 && !self.shared.machine().hears_few_relays() {
+    /// Requests missed crash records from all loaders and from one other relay, a different one each time.
+    pub(super) fn request_crash_records(&mut self, now: MonoTime) {
+        // A relay that is cut off from the other relays may still reach loaders.
+        if self.crash_requests_left == 0 && !self.shared.machine().hears_few_relays() {
             return;
         }
         let loaders = self.loaders_of_engines();
         if loaders.is_empty() && self.relays.is_empty() {
             return;
         }
-        self.crash_asks = self.crash_asks.saturating_sub(1);
-        self.crash_asked_at = now;
-        let ask = PeerMessage::CrashAsk(CrashAsk { relay: self.control });
-        let place = self.crash_asks as usize % self.relays.len().max(1);
-        let relay = self.relays.values().map(|known| known.address).nth(place);
-        self.send(&ask, loaders.into_iter().map(|(_, loader)| loader).chain(relay));
+        self.crash_requests_left = self.crash_requests_left.saturating_sub(1);
+        self.crash_requested_at = now;
+        let request = PeerMessage::CrashAsk(CrashAsk { relay: self.control_address });
+        let index = self.crash_requests_left as usize % self.relays.len().max(1);
+        let relay = self.relays.values().map(|known| known.address).nth(index);
+        self.send(&request, loaders.into_iter().map(|(_, loader)| loader).chain(relay));
     }
 }
 
+/// Returns the rendezvous weight of a loader as a place to store a crash record.
 fn rank(end: EndId, loader: SocketAddr) -> u64 {
     rendezvous::weight(&format!("{end:x}"), &loader.to_string())
 }
--- a/quillcove/src/relay/input/mod.rs
+++ b/quillcove/src/relay/input/mod.rs
@@ -1,4 +1,5 @@
-//! Takes what the store and the other processes tell, and tells them what this relay knows.
+//! The input task of a relay: applies updates from the store, from other relays and from loaders to the relay's state
+//! machine, and sends this relay's heartbeats, reports and load requests.
 
 mod crashes;
 mod peers;
@@ -21,118 +22,120 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-use self::crashes::ASK_TIMES;
-use self::readers::UnknownChange;
-use self::right::ProofQuestions;
-use super::follow::{FollowOrder, StoreNews};
+use self::crashes::CRASH_REQUESTS;
+use self::readers::UnreadChange;
+use self::right::ProofRequests;
+use super::follow::{FollowOrder, StoreUpdate};
 use super::shared::RelayShared;
 use crate::config::relay::RelaySettings;
 use crate::peers::{PeerArrival, PeerSocket};
 
-/// Time between looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of the periodic work in [`InputDuty::tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after the start, or after a pause of the process, before this relay may plan loads: two
-/// beacons of any other relay that does so already.
-const KEEPER_DELAY: Duration = Duration::from_millis(1100);
+/// Time after the start, or after a suspension of the process, before this relay may coordinate model loads: long
+/// enough to receive two heartbeats of another relay that does so already.
+const COORDINATION_DELAY: Duration = Duration::from_millis(1100);
 
-/// A gap between ticks that counts as a pause of the process.
-const PAUSE_LIMIT: Duration = Duration::from_millis(600);
+/// Gap between two ticks from which the process is taken to have been suspended.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(600);
 
-/// Answers of other relays that may wait.
-const PUBLISHED_PLACES: usize = 4;
+/// Capacity of the queue of snapshots fetched from other relays.
+const SNAPSHOT_QUEUE_LENGTH: usize = 4;
 
-/// What feeds the duty from other threads.
+/// Channels that connect the input task with other threads.
 pub struct InputFeed {
-    /// News of the store.
-    pub store: mpsc::Receiver<StoreNews>,
-    /// The settings as they are now.
+    /// Updates read from the store.
+    pub store: mpsc::Receiver<StoreUpdate>,
+    /// The current settings.
     pub settings: watch::Receiver<RelaySettings>,
-    /// Makes the store be read anew.
+    /// Incremented to have both parts of the store read again in full.
     pub hurry: watch::Sender<u64>,
-    /// Says what is to be read of the store.
+    /// Instructions to the task that reads the store.
     pub order: watch::Sender<FollowOrder>,
 }
 
-/// Everything that reaches the duty.
-enum RelayInput {
-    Store(StoreNews),
+/// Events that the input task handles.
+enum InputEvent {
+    Store(StoreUpdate),
     Peer(PeerArrival),
-    Published(Result<Box<FetchedState>, String>),
+    Snapshot(Result<Box<FetchedState>, String>),
     SettingsChanged,
-    Wanted,
+    MessagesPending,
     Ticked,
 }
 
-/// What another relay has read, and when it was asked for it.
+/// Snapshot of another relay's store state, and the time at which it was requested.
 struct FetchedState {
     state: PublishedState,
-    asked_at: MonoTime,
+    requested_at: MonoTime,
 }
 
-/// Another relay, as last heard.
+/// Another relay, according to its last heartbeat.
 struct KnownRelay {
     address: SocketAddr,
     hall: HallName,
-    /// Whether the store answered its last call.
-    is_up: bool,
-    /// Adapters that its requests lack.
-    lacking: u32,
-    heard: MonoTime,
-    /// Time until its next word, by its last one.
-    interval: Duration,
-    /// Relays that it hears itself.
-    others: u32,
-    /// When its own last reading of the operator's part began, by what it says.
-    read_at: Option<MonoTime>,
+    /// Whether the store answered that relay's last calls.
+    is_store_up: bool,
+    /// Number of adapters that its requests need and no engine holds.
+    missing_adapters: u32,
+    last_heartbeat_at: MonoTime,
+    /// Time until its next heartbeat, as announced by the last one.
+    heartbeat_interval: Duration,
+    /// Number of relays from which it receives heartbeats.
+    known_relays: u32,
+    /// When its last own read of the operator's part began, computed from the age that it reports.
+    operator_read_at: Option<MonoTime>,
 }
 
-/// The duty's own state.
+/// State of the input task.
 pub struct InputDuty {
     shared: Arc<RelayShared>,
     socket: PeerSocket,
-    /// Address of the socket, by which other processes know this relay.
-    control: SocketAddr,
-    /// Settings in force; of changed ones only some sections are taken over.
+    /// Address of the socket, which other processes use to reach this relay.
+    control_address: SocketAddr,
+    /// Settings in force; only some sections of changed settings are applied to a running process.
     settings: RelaySettings,
-    changed: watch::Receiver<RelaySettings>,
-    hurry: watch::Sender<u64>,
-    order: watch::Sender<FollowOrder>,
-    /// Changes that other relays know and this one does not, by part.
-    unknown: HashMap<StorePart, UnknownChange>,
-    /// When readings were asked for that have not come, by part.
-    wanted: HashMap<StorePart, MonoTime>,
-    store: mpsc::Receiver<StoreNews>,
-    published: mpsc::Receiver<Result<Box<FetchedState>, String>>,
-    publish: mpsc::Sender<Result<Box<FetchedState>, String>>,
-    last_fetch: MonoTime,
-    keeper: ModelKeeper,
+    settings_changes: watch::Receiver<RelaySettings>,
+    /// Incremented to have both parts of the store read again in full.
+    reread: watch::Sender<u64>,
+    follow_instructions: watch::Sender<FollowOrder>,
+    /// Changes that other relays have announced and this one has not read, by part.
+    unread_changes: HashMap<StorePart, UnreadChange>,
+    /// Time of each read that was requested and has not completed, by part.
+    requested_reads: HashMap<StorePart, MonoTime>,
+    store_updates: mpsc::Receiver<StoreUpdate>,
+    snapshots: mpsc::Receiver<Result<Box<FetchedState>, String>>,
+    snapshot_sender: mpsc::Sender<Result<Box<FetchedState>, String>>,
+    last_fetch_at: MonoTime,
+    load_coordinator: ModelKeeper,
     relays: HashMap<HostId, KnownRelay>,
-    /// What was heard of each loader.
-    loaders: ReportLedger,
-    /// Whether the store answers, by part.
-    store_up: HashMap<StorePart, bool>,
-    /// Since when another relay has been ahead in the store.
+    /// Last report received from each loader.
+    loader_reports: ReportLedger,
+    /// Whether the store answered the last call, by part.
+    store_answers: HashMap<StorePart, bool>,
+    /// Time since which another relay has known later store changes.
     behind_since: Option<MonoTime>,
-    /// Whether a sheet was published that could not be read.
-    is_sheet_lost: bool,
-    /// Random number of this process, by which others tell its totals from those of an earlier one.
+    /// Whether a configuration was published that could not be parsed.
+    is_configuration_unknown: bool,
+    /// Random number of this process; lets others tell its usage totals from those of an earlier process.
     incarnation: Incarnation,
-    /// Questions for proofs.
-    proofs: ProofQuestions,
-    /// Times that this relay will still ask for ends of replicas that it may have missed.
-    crash_asks: u32,
-    /// When it last asked.
-    crash_asked_at: MonoTime,
-    /// Services for whose engines in this relay's cell it paces the loads of base models.
-    kept: BTreeSet<ServiceName>,
-    keeper_from: MonoTime,
-    /// Whose turn it is among the relays of the own hall and of others, and to be named to them.
+    /// Requests to other relays for a more recent freshness proof.
+    proof_requests: ProofRequests,
+    /// Number of requests still to be sent for crash records that this relay may have missed.
+    crash_requests_left: u32,
+    /// When crash records were last requested.
+    crash_requested_at: MonoTime,
+    /// Services whose base-model loads this relay coordinates, each for the engines of its own cell.
+    coordinated_services: BTreeSet<ServiceName>,
+    /// Time from which this relay may coordinate base-model loads.
+    coordinates_from: MonoTime,
+    /// Round-robin positions: relays of the own hall, relays of other halls, and relays named in heartbeats.
     near_round: ListRound,
     far_round: ListRound,
-    named: ListRound,
-    last_tick: MonoTime,
-    last_beacon: MonoTime,
+    named_round: ListRound,
+    last_tick_at: MonoTime,
+    last_heartbeat_at: MonoTime,
 }
 
 impl InputDuty {
@@ -142,139 +145,140 @@
         control: SocketAddr,
         feed: InputFeed,
     ) -> Self {
-        let (publish, published) = mpsc::channel(PUBLISHED_PLACES);
+        let (snapshot_sender, snapshots) = mpsc::channel(SNAPSHOT_QUEUE_LENGTH);
         let settings = feed.settings.borrow().clone();
         Self {
             shared,
             socket,
-            control,
+            control_address: control,
             settings,
-            changed: feed.settings,
-            hurry: feed.hurry,
-            order: feed.order,
-            unknown: HashMap::new(),
-            wanted: HashMap::new(),
-            store: feed.store,
-            published,
-            publish,
-            last_fetch: MonoTime::ZERO,
-            keeper: ModelKeeper::default(),
+            settings_changes: feed.settings,
+            reread: feed.hurry,
+            follow_instructions: feed.order,
+            unread_changes: HashMap::new(),
+            requested_reads: HashMap::new(),
+            store_updates: feed.store,
+            snapshots,
+            snapshot_sender,
+            last_fetch_at: MonoTime::ZERO,
+            load_coordinator: ModelKeeper::default(),
             relays: HashMap::new(),
-            loaders: ReportLedger::default(),
-            store_up: HashMap::new(),
+            loader_reports: ReportLedger::default(),
+            store_answers: HashMap::new(),
             behind_since: None,
-            is_sheet_lost: false,
+            is_configuration_unknown: false,
             incarnation: rand::random(),
-            proofs: ProofQuestions::default(),
-            crash_asks: ASK_TIMES,
-            crash_asked_at: MonoTime::ZERO,
-            kept: BTreeSet::new(),
+            proof_requests: ProofRequests::default(),
+            crash_requests_left: CRASH_REQUESTS,
+            crash_requested_at: MonoTime::ZERO,
+            coordinated_services: BTreeSet::new(),
             near_round: ListRound::default(),
             far_round: ListRound::default(),
-            named: ListRound::default(),
-            keeper_from: KEEPER_DELAY,
-            last_tick: MonoTime::ZERO,
-            last_beacon: MonoTime::ZERO,
+            named_round: ListRound::default(),
+            coordinates_from: COORDINATION_DELAY,
+            last_tick_at: MonoTime::ZERO,
+            last_heartbeat_at: MonoTime::ZERO,
         }
     }
 
-    /// Runs until the process ends.
+    /// Handles events until the process exits.
     pub async fn run(mut self) {
         let mut next_tick = Instant::now();
         let shared = self.shared.clone();
         loop {
-            let input = tokio::select! {
-                Some(news) = self.store.recv() => RelayInput::Store(news),
-                Some(published) = self.published.recv() => RelayInput::Published(published),
-                Ok(()) = self.changed.changed() => RelayInput::SettingsChanged,
+            let event = tokio::select! {
+                Some(update) = self.store_updates.recv() => InputEvent::Store(update),
+                Some(snapshot) = self.snapshots.recv() => InputEvent::Snapshot(snapshot),
+                Ok(()) = self.settings_changes.changed() => InputEvent::SettingsChanged,
                 arrival = self.socket.receive() => match arrival {
-                    Ok(arrival) => RelayInput::Peer(arrival),
+                    Ok(arrival) => InputEvent::Peer(arrival),
                     Err(error) => {
-                        warn!(shared.log, "datagrams can not be read"; "error" => %error);
+                        warn!(shared.log, "cannot receive datagrams"; "error" => %error);
                         continue;
                     },
                 },
-                () = shared.wanted.notified() => RelayInput::Wanted,
+                () = shared.wanted.notified() => InputEvent::MessagesPending,
                 () = sleep_until(next_tick) => {
-                    next_tick = Instant::now() + TICK;
-                    RelayInput::Ticked
+                    next_tick = Instant::now() + TICK_INTERVAL;
+                    InputEvent::Ticked
                 },
             };
-            self.handle(input);
+            self.handle(event);
         }
     }
 
-    fn handle(&mut self, input: RelayInput) {
+    fn handle(&mut self, event: InputEvent) {
         let now = self.shared.clock.now();
-        match input {
-            RelayInput::Store(news) => self.take_store(news, now),
-            RelayInput::Peer(PeerArrival::Message(message, from)) => {
-                self.take_message(*message, from, now);
+        match event {
+            InputEvent::Store(update) => self.handle_store_update(update, now),
+            InputEvent::Peer(PeerArrival::Message(message, from)) => {
+                self.handle_message(*message, from, now);
             },
-            RelayInput::Peer(PeerArrival::Garbage(from, error)) => {
-                warn!(self.shared.log, "datagram is no message"; "from" => %from,
+            InputEvent::Peer(PeerArrival::Garbage(from, error)) => {
+                warn!(self.shared.log, "cannot decode datagram"; "from" => %from,
                     "error" => %error);
             },
-            RelayInput::Published(published) => self.take_published(published, now),
-            RelayInput::SettingsChanged => self.take_settings(),
-            RelayInput::Wanted => {
-                self.send_wanted();
-                self.tell_freed();
-                self.tell_crashes(false, now);
+            InputEvent::Snapshot(snapshot) => self.handle_snapshot(snapshot, now),
+            InputEvent::SettingsChanged => self.apply_settings(),
+            InputEvent::MessagesPending => {
+                self.send_pending_loads();
+                self.report_freed_adapters();
+                self.send_crash_records(false, now);
             },
-            RelayInput::Ticked => self.tick(now),
+            InputEvent::Ticked => self.tick(now),
         }
     }
 
     fn tick(&mut self, now: MonoTime) {
-        let gap = now.saturating_sub(self.last_tick);
-        self.last_tick = now;
-        if gap > PAUSE_LIMIT && now > PAUSE_LIMIT {
+        let gap = now.saturating_sub(self.last_tick_at);
+        self.last_tick_at = now;
+        if gap > SUSPENSION_THRESHOLD && now > SUSPENSION_THRESHOLD {
             self.shared.wakes.ring();
             warn!(self.shared.log, "process was paused"; "gap_ms" => gap.as_millis() as u64);
-            self.keeper_from = now + KEEPER_DELAY;
-            self.miss_crashes(now);
-            self.hurry.send_modify(|count| *count += 1);
+            self.coordinates_from = now + COORDINATION_DELAY;
+            self.start_crash_requests(now);
+            self.reread.send_modify(|count| *count += 1);
         }
-        self.shared.machine().set_others(self.others(now), now);
+        self.shared.machine().set_others(self.other_relays(now), now);
         let changes = self.shared.machine().tick(now);
         self.log_changes(changes);
-        self.send_wanted();
-        self.end_promises();
-        self.note_ready();
-        self.forget_relays(now);
-        self.forget_loaders();
-        self.choose_duty(now);
-        self.read_what_is_unknown(now);
-        self.read_what_is_old(now);
-        self.renew_right(now);
-        self.tell_spent(now, false);
-        self.tell_crashes(false, now);
-        self.choose_keeper(now);
-        self.plan_models(now);
-        if now.saturating_sub(self.last_beacon) >= SHORTEST_INTERVAL {
-            self.tell_all(now);
+        self.send_pending_loads();
+        self.record_load_estimates();
+        self.update_readiness();
+        self.remove_expired_relays(now);
+        self.remove_unlisted_loaders();
+        self.choose_store_duty(now);
+        self.request_unread_changes(now);
+        self.request_stale_parts(now);
+        self.renew_key_validity(now);
+        self.send_usage(now, false);
+        self.send_crash_records(false, now);
+        self.choose_coordinated_services(now);
+        self.plan_model_loads(now);
+        if now.saturating_sub(self.last_heartbeat_at) >= SHORTEST_INTERVAL {
+            self.send_heartbeats(now);
         }
     }
 
-    /// Records how true the times were that refused callers were told.
-    fn end_promises(&self) {
-        let ended = self.shared.machine().take_promises();
-        for promise in ended {
-            let error_ms = match promise.fate {
+    /// Records the error of each load estimate that was given to a rejected request, once the adapter has been loaded or
+    /// was not loaded in a useful time.
+    fn record_load_estimates(&self) {
+        let resolved = self.shared.machine().take_promises();
+        for estimate in resolved {
+            let error_ms = match estimate.fate {
                 PromiseFate::Early(early) => Some(-(early.as_millis() as i64)),
                 PromiseFate::Late(late) => Some(late.as_millis() as i64),
                 PromiseFate::Missed => None,
             };
-            self.shared.metrics.promise_ended(promise.fate);
-            info!(self.shared.log, "told time is over"; "adapter" => promise.key.adapter,
+            self.shared.metrics.promise_ended(estimate.fate);
+            info!(self.shared.log, "load estimate resolved"; "adapter" => estimate.key.adapter,
                 "came" => error_ms.is_some(), "after_told_ms" => error_ms);
         }
     }
 
-    /// Takes over the changed sections that a running process can, and names the others.
-    fn take_settings(&mut self) {
-        let newer = self.changed.borrow_and_update().clone();
+    /// Applies the changed sections that a running process can, and logs the sections that wait for a restart.
+    fn apply_settings(&mut self) {
+        let newer = self.settings_changes.borrow_and_update().clone();
         let change = self.settings.change_to(&newer);
         info!(self.shared.log, "settings changed"; "taken" => change.taken.join(","),
             "waiting_for_start" => change.waiting.join(","), "seeds" => ?newer.peers.seeds);
--- a/quillcove/src/relay/input/peers.rs
+++ b/quillcove/src/relay/input/peers.rs
@@ -1,4 +1,4 @@
-//! What relays and loaders tell each other.
+//! Messages between relays, and between relays and loaders.
 
 use std::collections::{BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -19,62 +19,62 @@
 
 use super::{InputDuty, KnownRelay};
 
-/// Relays that a word to a relay names.
-const NAMED_AT_ONCE: usize = 2;
+/// Number of other relays that a heartbeat to a relay names.
+const NAMED_RELAYS: usize = 2;
 
 impl InputDuty {
-    pub(super) fn take_message(&mut self, message: PeerMessage, from: SocketAddr, now: MonoTime) {
+    pub(super) fn handle_message(&mut self, message: PeerMessage, from: SocketAddr, now: MonoTime) {
         match message {
-            PeerMessage::Relay(beacon) => self.take_beacon(beacon, now),
-            PeerMessage::Engine(beacon) => self.take_report(*beacon, now),
-            PeerMessage::Gauges(beacon) => self.take_gauges(&beacon, now),
-            PeerMessage::Spend(told) => self.shared.machine().take_spent(&told, now),
-            PeerMessage::ProofAsk(ask) => self.answer_proof(&ask, now),
-            PeerMessage::Proof(answer) => self.take_proof(&answer),
-            PeerMessage::Crash(told) => self.take_crashes(&told, from, now),
-            PeerMessage::CrashAsk(ask) => self.answer_crashes(ask, now),
-            PeerMessage::Limit(told) => self.shared.machine().take_limits(&told, now),
-            PeerMessage::Change(told) => self.take_told(&told, now),
+            PeerMessage::Relay(heartbeat) => self.handle_heartbeat(heartbeat, now),
+            PeerMessage::Engine(report) => self.handle_report(*report, now),
+            PeerMessage::Gauges(gauges) => self.handle_gauges(&gauges, now),
+            PeerMessage::Spend(usage) => self.shared.machine().take_spent(&usage, now),
+            PeerMessage::ProofAsk(request) => self.answer_proof_request(&request, now),
+            PeerMessage::Proof(response) => self.handle_proof(&response),
+            PeerMessage::Crash(records) => self.apply_crash_records(&records, from, now),
+            PeerMessage::CrashAsk(request) => self.answer_crash_request(request, now),
+            PeerMessage::Limit(limits) => self.shared.machine().take_limits(&limits, now),
+            PeerMessage::Change(change) => self.handle_change(&change, now),
             PeerMessage::Use(_) | PeerMessage::Load(_) | PeerMessage::Resend(_) => {
-                warn!(self.shared.log, "message is meant for a loader"; "from" => %from);
+                warn!(self.shared.log, "received a message meant for loaders"; "from" => %from);
             },
         }
     }
 
-    fn take_beacon(&mut self, beacon: RelayBeacon, now: MonoTime) {
-        if beacon.host == self.shared.settings.process.host {
+    fn handle_heartbeat(&mut self, heartbeat: RelayBeacon, now: MonoTime) {
+        if heartbeat.host == self.shared.settings.process.host {
             return;
         }
         let known = KnownRelay {
-            address: beacon.address,
-            hall: beacon.hall.clone(),
-            is_up: beacon.word.is_up,
-            lacking: beacon.lacking,
-            heard: now,
-            interval: beacon.interval,
-            others: beacon.heard,
-            read_at: beacon.word.ages.operator.map(|age| now.saturating_sub(age)),
+            address: heartbeat.address,
+            hall: heartbeat.hall.clone(),
+            is_store_up: heartbeat.word.is_up,
+            missing_adapters: heartbeat.lacking,
+            last_heartbeat_at: now,
+            heartbeat_interval: heartbeat.interval,
+            known_relays: heartbeat.heard,
+            operator_read_at: heartbeat.word.ages.operator.map(|age| now.saturating_sub(age)),
         };
-        if self.relays.insert(beacon.host.clone(), known).is_none() {
-            info!(self.shared.log, "relay heard"; "relay" => &beacon.host,
-                "address" => %beacon.address);
-            self.note_peers(now);
-            self.tell_relay(&beacon.hall, beacon.address, now);
-            self.tell_levels(beacon.address, now);
-            self.miss_crashes(now);
-            self.greet_with_crashes(&beacon.host, beacon.address, now);
+        if self.relays.insert(heartbeat.host.clone(), known).is_none() {
+            info!(self.shared.log, "relay heard"; "relay" => &heartbeat.host,
+                "address" => %heartbeat.address);
+            self.update_peers(now);
+            self.send_heartbeat_to(&heartbeat.hall, heartbeat.address, now);
+            self.send_levels(heartbeat.address, now);
+            self.start_crash_requests(now);
+            self.offer_crash_records(&heartbeat.host, heartbeat.address, now);
         }
-        let distance = self.distance_to(&beacon.hall);
-        self.take_word(&beacon.word, distance, now);
-        if distance == RelayDistance::Near || !self.hears_near_reader() {
-            self.compare(&beacon, now);
+        let distance = self.distance_to(&heartbeat.hall);
+        self.apply_summary(&heartbeat.word, distance, now);
+        if distance == RelayDistance::Near || !self.has_near_reader() {
+            self.compare_positions(&heartbeat, now);
         }
-        for relay in beacon.relays {
-            self.greet(relay);
+        for relay in heartbeat.relays {
+            self.contact_relay(relay);
         }
     }
 
-    /// How far another relay is from this one.
+    /// Returns whether a relay's hall is this relay's own.
     pub(super) fn distance_to(&self, hall: &str) -> RelayDistance {
         match hall == self.shared.settings.process.hall {
             true => RelayDistance::Near,
@@ -82,56 +82,56 @@
         }
     }
 
-    /// Tells whether a relay of the own hall is heard that the store answers.
-    pub(super) fn hears_near_reader(&self) -> bool {
+    /// Returns whether a relay of the own hall that the store answers is known.
+    pub(super) fn has_near_reader(&self) -> bool {
         let is_near_reader = |known: &KnownRelay| {
-            known.is_up && self.distance_to(&known.hall) == RelayDistance::Near
+            known.is_store_up && self.distance_to(&known.hall) == RelayDistance::Near
         };
         self.relays.values().any(is_near_reader)
     }
 
-    fn take_report(&mut self, beacon: EngineBeacon, now: MonoTime) {
-        if !self.loaders.take_whole(&beacon) {
+    fn handle_report(&mut self, message: EngineBeacon, now: MonoTime) {
+        if !self.loader_reports.take_whole(&message) {
             return;
         }
-        self.keeper.take_report(&beacon, now);
-        let is_changed = self.shared.machine().take_report(&beacon, now);
-        // A report of another cell's engine is the answer to an ask, also when it says what was known before.
-        let is_asked = {
+        self.load_coordinator.take_report(&message, now);
+        let is_changed = self.shared.machine().take_report(&message, now);
+        // A report of another cell's engine is the response to a load request, even if it contains nothing new.
+        let is_response = {
             let machine = self.shared.machine();
-            machine.table().at(beacon.engine).is_some_and(|view| !view.is_near)
+            machine.table().at(message.engine).is_some_and(|view| !view.is_near)
         };
-        if is_changed || is_asked {
-            self.shared.waiters.tell_held(&beacon.report.adapters);
+        if is_changed || is_response {
+            self.shared.waiters.notify_loaded(&message.report.adapters);
         }
-        self.send_wanted();
-        for relay in beacon.relays {
-            self.greet(relay);
+        self.send_pending_loads();
+        for relay in message.relays {
+            self.contact_relay(relay);
         }
     }
 
-    fn take_gauges(&mut self, beacon: &GaugeBeacon, now: MonoTime) {
-        match self.loaders.take_gauges(beacon, now) {
+    fn handle_gauges(&mut self, message: &GaugeBeacon, now: MonoTime) {
+        match self.loader_reports.take_gauges(message, now) {
             GaugeFate::Late | GaugeFate::Lacks { asks: false } => {},
-            GaugeFate::Lacks { asks: true } => self.ask_for_whole(beacon.engine),
+            GaugeFate::Lacks { asks: true } => self.request_full_report(message.engine),
             GaugeFate::Fits => {
                 let is_taken =
-                    self.shared.machine().take_gauges(beacon.engine, &beacon.gauges, now);
+                    self.shared.machine().take_gauges(message.engine, &message.gauges, now);
                 if !is_taken {
-                    // The engine has restarted, so that its last report is gone.
-                    self.loaders.forget(beacon.engine);
+                    // The engine has restarted, so its last full report no longer applies.
+                    self.loader_reports.forget(message.engine);
                 }
-                self.send_wanted();
+                self.send_pending_loads();
             },
         }
     }
 
-    fn ask_for_whole(&self, engine: SocketAddr) {
-        let ask = PeerMessage::Resend(ResendAsk { relay: self.control });
-        self.send(&ask, [self.loader_of(engine)]);
+    fn request_full_report(&self, engine: SocketAddr) {
+        let request = PeerMessage::Resend(ResendAsk { relay: self.control_address });
+        self.send(&request, [self.loader_of(engine)]);
     }
 
-    /// The loader on the host of an engine.
+    /// Returns the address of the loader on an engine's host.
     fn loader_of(&self, engine: SocketAddr) -> SocketAddr {
         SocketAddr::new(engine.ip(), self.settings.peers.loader_port)
     }
@@ -145,31 +145,35 @@
         self.shared.metrics.told(message.kind(), sent);
     }
 
-    /// Tells a relay that only loaders have heard so far that this one is there.
-    fn greet(&mut self, relay: SocketAddr) {
+    /// Sends a heartbeat to a relay that another process has named and that this relay does not know yet.
+    fn contact_relay(&mut self, relay: SocketAddr) {
         let is_known = self.relays.values().any(|known| known.address == relay);
-        if !is_known && relay != self.control {
-            // Its hall is not known yet; it learns from the answer to this how far it is.
-            self.tell_relay("", relay, self.shared.clock.now());
+        if !is_known && relay != self.control_address {
+            // Its hall is not known yet; that relay's own heartbeat will tell whether it is near or far.
+            self.send_heartbeat_to("", relay, self.shared.clock.now());
         }
     }
 
-    pub(super) fn others(&self, now: MonoTime) -> OtherRelays {
-        let lacking = self.relays.values().map(|known| known.lacking as usize).sum();
+    pub(super) fn other_relays(&self, now: MonoTime) -> OtherRelays {
+        let lacking = self.relays.values().map(|known| known.missing_adapters as usize).sum();
         let is_recent = |known: &&KnownRelay| {
-            now.saturating_sub(known.heard) < telling::recent_time(known.interval)
+            now.saturating_sub(known.last_heartbeat_at)
+                < telling::recent_time(known.heartbeat_interval)
         };
         let recent = self.relays.values().filter(is_recent).count();
-        // Each relay that is heard has heard others; a relay that has just started knows the fleet by them.
-        let told = self.relays.values().map(|known| known.others as usize).max().unwrap_or(0);
-        OtherRelays { count: self.relays.len().max(told), recent, lacking }
+        // Every known relay reports how many relays it knows, from which a relay that has just started learns the
+        // size of the fleet.
+        let reported =
+            self.relays.values().map(|known| known.known_relays as usize).max().unwrap_or(0);
+        OtherRelays { count: self.relays.len().max(reported), recent, lacking }
     }
 
-    pub(super) fn forget_relays(&mut self, now: MonoTime) {
+    pub(super) fn remove_expired_relays(&mut self, now: MonoTime) {
         let shared = self.shared.clone();
         let before = self.relays.len();
         self.relays.retain(|host, known| {
-            let is_recent = now.saturating_sub(known.heard) < telling::lifetime(known.interval);
+            let is_recent = now.saturating_sub(known.last_heartbeat_at)
+                < telling::lifetime(known.heartbeat_interval);
             if !is_recent {
                 info!(shared.log, "relay no longer heard"; "relay" => host);
                 shared.machine().ledger_mut().forget(host);
@@ -177,95 +181,96 @@
             is_recent
         });
         if self.relays.len() < before {
-            self.note_peers(now);
+            self.update_peers(now);
         }
     }
 
-    /// Has the machine share limits of replicas among the relays that are there.
-    fn note_peers(&self, now: MonoTime) {
+    /// Passes the known relays to the machine, which divides the rate limits of replicas among them.
+    fn update_peers(&self, now: MonoTime) {
         let others = self.relays.keys().cloned().collect();
         self.shared.machine().set_peers(others, now);
     }
 
-    /// Forgets loaders whose engines are no longer listed.
-    pub(super) fn forget_loaders(&mut self) {
+    /// Removes loaders whose engines are no longer listed.
+    pub(super) fn remove_unlisted_loaders(&mut self) {
         let machine = self.shared.machine();
-        self.loaders.retain(|engine| machine.table().at(engine).is_some());
+        self.loader_reports.retain(|engine| machine.table().at(engine).is_some());
     }
 
-    /// The relay with the lowest name of a cell among those heard lately paces the loads of base models there.
-    pub(super) fn choose_keeper(&mut self, now: MonoTime) {
+    /// Chooses the services whose base-model loads this relay coordinates. The coordinator of a cell is the relay
+    /// with the lowest host name among those whose heartbeats have not expired.
+    pub(super) fn choose_coordinated_services(&mut self, now: MonoTime) {
         let shared = self.shared.clone();
         let own = &shared.settings.process.host;
         let machine = shared.machine();
-        let may_keep = now >= self.keeper_from && !machine.is_stopping();
+        let may_coordinate = now >= self.coordinates_from && !machine.is_stopping();
         let is_lowest = |service: &ServiceName| {
-            let is_behind = |(host, known): (&HostId, &KnownRelay)| {
+            let has_precedence = |(host, known): (&HostId, &KnownRelay)| {
                 own < host || !machine.shares_cell(service, &known.hall, host)
             };
-            self.relays.iter().all(is_behind)
+            self.relays.iter().all(has_precedence)
         };
         let services = machine.sheet().into_iter().flat_map(|sheet| sheet.services());
         let engines = services.filter(|service| service.engine.is_some());
         let names = engines.map(|service| service.name.clone());
-        let kept: BTreeSet<ServiceName> =
-            names.filter(|service| may_keep && is_lowest(service)).collect();
+        let coordinated: BTreeSet<ServiceName> =
+            names.filter(|service| may_coordinate && is_lowest(service)).collect();
         drop(machine);
-        if kept != self.kept {
-            info!(shared.log, "keeper of base models"; "services" => ?kept,
+        if coordinated != self.coordinated_services {
+            info!(shared.log, "keeper of base models"; "services" => ?coordinated,
                 "relays" => self.relays.len());
-            self.kept = kept;
+            self.coordinated_services = coordinated;
         }
     }
 
-    pub(super) fn plan_models(&mut self, now: MonoTime) {
-        let is_keeper = |service: &str| self.kept.contains(service);
-        let asks = self.keeper.plan(&self.shared.machine(), is_keeper, now);
-        self.send_asks(asks);
+    pub(super) fn plan_model_loads(&mut self, now: MonoTime) {
+        let is_coordinated = |service: &str| self.coordinated_services.contains(service);
+        let requests = self.load_coordinator.plan(&self.shared.machine(), is_coordinated, now);
+        self.send_load_requests(requests);
     }
 
-    /// Sends the asks for adapters that the machine has made.
-    pub(super) fn send_wanted(&self) {
-        let asks = self.shared.machine().take_asks();
-        self.send_asks(asks);
+    /// Sends the load requests that are pending in the machine.
+    pub(super) fn send_pending_loads(&self) {
+        let requests = self.shared.machine().take_asks();
+        self.send_load_requests(requests);
     }
 
-    fn send_asks(&self, asks: Vec<AddressedAsk>) {
-        for addressed in asks {
-            let ask = &addressed.ask;
-            info!(self.shared.log, "load asked for"; "replica" => &ask.replica,
-                "model" => &ask.model, "adapter" => ask.adapter.as_deref().unwrap_or("-"),
-                "version" => ask.version);
+    fn send_load_requests(&self, requests: Vec<AddressedAsk>) {
+        for addressed in requests {
+            let request = &addressed.ask;
+            info!(self.shared.log, "load asked for"; "replica" => &request.replica,
+                "model" => &request.model, "adapter" => request.adapter.as_deref().unwrap_or("-"),
+                "version" => request.version);
             let loader = self.loader_of(addressed.engine);
             self.send(&PeerMessage::Load(addressed.ask), [loader]);
         }
     }
 
-    /// The relays that are heard at this distance.
+    /// Returns the addresses of the known relays at a distance.
     fn relays_at(&self, distance: RelayDistance) -> Vec<SocketAddr> {
-        let is_there = |known: &&KnownRelay| self.distance_to(&known.hall) == distance;
+        let is_at_distance = |known: &&KnownRelay| self.distance_to(&known.hall) == distance;
         let mut relays: Vec<SocketAddr> =
-            self.relays.values().filter(is_there).map(|known| known.address).collect();
+            self.relays.values().filter(is_at_distance).map(|known| known.address).collect();
         relays.sort_unstable();
         relays
     }
 
-    /// Seeds that are not heard; those that are heard are among the others.
-    fn silent_seeds(&self) -> Vec<SocketAddr> {
+    /// Returns the seeds from which no heartbeat arrives.
+    fn unheard_seeds(&self) -> Vec<SocketAddr> {
         let heard: HashSet<SocketAddr> = self.relays.values().map(|known| known.address).collect();
         let seeds = self.settings.peers.seeds.iter().copied();
-        seeds.filter(|seed| *seed != self.control && !heard.contains(seed)).collect()
+        seeds.filter(|seed| *seed != self.control_address && !heard.contains(seed)).collect()
     }
 
-    fn beacon(&mut self, interval: Duration, now: MonoTime) -> RelayBeacon {
+    fn next_heartbeat(&mut self, interval: Duration, now: MonoTime) -> RelayBeacon {
         let all: Vec<SocketAddr> = self.relays.values().map(|known| known.address).collect();
-        let named = self.named.take(&all, NAMED_AT_ONCE);
+        let named = self.named_round.take(&all, NAMED_RELAYS);
         let is_up = self.is_store_up();
         let machine = self.shared.machine();
         RelayBeacon {
             host: self.shared.settings.process.host.clone(),
             hall: self.shared.settings.process.hall.clone(),
-            address: self.control,
+            address: self.control_address,
             sheet: machine.sheet().map_or(0, |sheet| sheet.version),
             word: machine.knowledge().word(is_up, now),
             lacking: machine.lacking() as u32,
@@ -275,111 +280,112 @@
         }
     }
 
-    /// Tells relays that this one is there, and loaders how their engines' adapters are used.
-    pub(super) fn tell_all(&mut self, now: MonoTime) {
-        self.last_beacon = now;
-        self.tell_near(now);
-        self.tell_some_far(now);
-        self.tell_spent(now, true);
-        self.tell_limits(now);
-        self.tell_crashes(true, now);
-        self.ask_for_crashes(now);
+    /// Sends heartbeats to relays, and to loaders the use of their engines' adapters.
+    pub(super) fn send_heartbeats(&mut self, now: MonoTime) {
+        self.last_heartbeat_at = now;
+        self.send_near_heartbeats(now);
+        self.send_far_heartbeats(now);
+        self.send_usage(now, true);
+        self.send_limits(now);
+        self.send_crash_records(true, now);
+        self.request_crash_records(now);
         for (replica, loader) in self.loaders_in_use() {
-            self.tell_uses(&replica, loader);
+            self.send_uses(&replica, loader);
         }
     }
 
-    /// Tells the loaders of some engines in use that this relay is there.
-    pub(super) fn tell_loaders_of(&self, engines: &HashSet<ReplicaId>) {
+    /// Sends adapter use to the loaders of the given engines, as far as this relay uses them.
+    pub(super) fn report_uses_of(&self, engines: &HashSet<ReplicaId>) {
         for (replica, loader) in self.loaders_in_use() {
             if engines.contains(&replica) {
-                self.tell_uses(&replica, loader);
+                self.send_uses(&replica, loader);
             }
         }
     }
 
-    /// Tells the relays of the own hall what this one knows, and seeds that have not been heard.
-    pub(super) fn tell_near(&mut self, now: MonoTime) {
+    /// Sends a heartbeat to relays of the own hall, and to seeds from which none arrives.
+    pub(super) fn send_near_heartbeats(&mut self, now: MonoTime) {
         let near = self.relays_at(RelayDistance::Near);
         let interval = RelayDistance::Near.interval(near.len());
-        let told = self.near_round.take(&near, RelayDistance::Near.at_once(near.len()));
-        let receivers: Vec<SocketAddr> = told.into_iter().chain(self.silent_seeds()).collect();
-        let beacon = PeerMessage::Relay(self.beacon(interval, now));
-        self.send(&beacon, receivers);
+        let selected = self.near_round.take(&near, RelayDistance::Near.at_once(near.len()));
+        let receivers: Vec<SocketAddr> = selected.into_iter().chain(self.unheard_seeds()).collect();
+        let heartbeat = PeerMessage::Relay(self.next_heartbeat(interval, now));
+        self.send(&heartbeat, receivers);
     }
 
-    /// Tells some of the relays of other halls, others with each call.
-    fn tell_some_far(&mut self, now: MonoTime) {
+    /// Sends a heartbeat to some of the relays of other halls, in round-robin order.
+    fn send_far_heartbeats(&mut self, now: MonoTime) {
         let far = self.relays_at(RelayDistance::Far);
         if far.is_empty() {
             return;
         }
         let interval = RelayDistance::Far.interval(far.len());
-        let told = self.far_round.take(&far, RelayDistance::Far.at_once(far.len()));
-        let beacon = PeerMessage::Relay(self.beacon(interval, now));
-        self.send(&beacon, told);
+        let selected = self.far_round.take(&far, RelayDistance::Far.at_once(far.len()));
+        let heartbeat = PeerMessage::Relay(self.next_heartbeat(interval, now));
+        self.send(&heartbeat, selected);
     }
 
-    /// Tells the relays of the own hall of changes that this one has read, if it is one of few that read.
-    pub(super) fn tell_change(&self, change: ChangeBeacon) {
-        let is_reader = self.order.borrow().duty == StoreDuty::Watches;
+    /// Sends changes that this relay has read to the relays of its hall, if it is one of the few direct readers of a
+    /// large fleet.
+    pub(super) fn send_change(&self, change: ChangeBeacon) {
+        let is_reader = self.follow_instructions.borrow().duty == StoreDuty::Watches;
         if change.changes.is_empty() || !is_reader || !store_duty::is_large(self.relays.len()) {
             return;
         }
         let near = self.relays_at(RelayDistance::Near);
-        for word in change.in_datagrams() {
-            self.send(&PeerMessage::Change(word), near.iter().copied());
+        for message in change.in_datagrams() {
+            self.send(&PeerMessage::Change(message), near.iter().copied());
         }
     }
 
-    /// Takes changes that another relay of the hall has read.
-    fn take_told(&mut self, told: &ChangeBeacon, now: MonoTime) {
-        let changes = self.shared.machine().take_told(told, now);
+    /// Applies changes that another relay of the hall has read.
+    fn handle_change(&mut self, change: &ChangeBeacon, now: MonoTime) {
+        let changes = self.shared.machine().take_told(change, now);
         if let Some(changes) = changes {
-            self.take_changes(changes, now);
-            self.shared.waiters.tell_all();
-            self.note_ready();
+            self.announce_changes(changes, now);
+            self.shared.waiters.notify_all();
+            self.update_readiness();
         }
     }
 
-    /// Tells one relay that this one is there.
-    fn tell_relay(&mut self, hall: &str, relay: SocketAddr, now: MonoTime) {
+    /// Sends a heartbeat to one relay.
+    fn send_heartbeat_to(&mut self, hall: &str, relay: SocketAddr, now: MonoTime) {
         let distance = self.distance_to(hall);
         let interval = distance.interval(self.relays_at(distance).len());
-        let beacon = PeerMessage::Relay(self.beacon(interval, now));
-        self.send(&beacon, [relay]);
+        let heartbeat = PeerMessage::Relay(self.next_heartbeat(interval, now));
+        self.send(&heartbeat, [relay]);
     }
 
-    /// Tells relays what was spent here of workspaces' limits: with each beacon, and before the next one
-    /// when that is much.
-    pub(super) fn tell_spent(&self, now: MonoTime, is_beacon: bool) {
-        let spent = self.shared.machine().ledger_mut().tell(is_beacon, now);
+    /// Sends the use of workspaces' rate limits at this relay: with each heartbeat, and earlier when a large part of
+    /// a limit was used.
+    pub(super) fn send_usage(&self, now: MonoTime, with_heartbeat: bool) {
+        let spent = self.shared.machine().ledger_mut().tell(with_heartbeat, now);
         if spent.is_empty() {
             return;
         }
-        let beacon = self.spend_beacon(spent, Vec::new(), now);
-        self.send(&PeerMessage::Spend(beacon), self.relays.values().map(|known| known.address));
+        let message = self.usage_message(spent, Vec::new(), now);
+        self.send(&PeerMessage::Spend(message), self.relays.values().map(|known| known.address));
     }
 
-    /// Tells relays what replicas have said of their limits.
-    fn tell_limits(&self, now: MonoTime) {
-        let told = self.shared.machine().tell_limits(now);
-        if let Some(told) = told {
+    /// Sends the rate limits that replicas have announced to this relay.
+    fn send_limits(&self, now: MonoTime) {
+        let limits = self.shared.machine().tell_limits(now);
+        if let Some(limits) = limits {
             let relays = self.relays.values().map(|known| known.address);
-            self.send(&PeerMessage::Limit(told), relays);
+            self.send(&PeerMessage::Limit(limits), relays);
         }
     }
 
-    /// Tells a relay that is new here what workspaces may still use, as it may have lost what it knew.
-    fn tell_levels(&self, relay: SocketAddr, now: MonoTime) {
+    /// Sends the remaining quota of workspaces to a newly discovered relay, which may have lost its state in a restart.
+    fn send_levels(&self, relay: SocketAddr, now: MonoTime) {
         let levels = self.shared.machine().ledger_mut().levels(now);
         if !levels.is_empty() {
-            let beacon = self.spend_beacon(Vec::new(), levels, now);
-            self.send(&PeerMessage::Spend(beacon), [relay]);
+            let message = self.usage_message(Vec::new(), levels, now);
+            self.send(&PeerMessage::Spend(message), [relay]);
         }
     }
 
-    fn spend_beacon(
+    fn usage_message(
         &self,
         spent: Vec<SpentTotal>,
         levels: Vec<WorkspaceLevel>,
@@ -389,37 +395,37 @@
         SpendBeacon { host, incarnation: self.incarnation, uptime: now, spent, levels }
     }
 
-    /// Tells the loaders of full engines at once that an adapter of theirs went out of use.
-    pub(super) fn tell_freed(&self) {
+    /// Reports at once to the loaders of full engines that one of their adapters is no longer in use.
+    pub(super) fn report_freed_adapters(&self) {
         let freed = self.shared.machine().take_freed();
         if freed.is_empty() {
             return;
         }
         let loaders = self.loaders_of_engines();
         for (replica, loader) in loaders.iter().filter(|(replica, _)| freed.contains(replica)) {
-            self.tell_uses(replica, *loader);
+            self.send_uses(replica, *loader);
         }
     }
 
-    fn tell_uses(&self, replica: &str, loader: SocketAddr) {
+    fn send_uses(&self, replica: &str, loader: SocketAddr) {
         let uses = self.shared.machine().take_uses(replica);
-        let beacon = PeerMessage::Use(UseBeacon { relay: self.control, uses });
-        self.send(&beacon, [loader]);
+        let message = PeerMessage::Use(UseBeacon { relay: self.control_address, uses });
+        self.send(&message, [loader]);
     }
 
-    /// The loaders of the engines in this relay's cell, and of others that it uses.
+    /// Returns the loaders of the engines in this relay's cell, and of other engines that it uses.
     fn loaders_in_use(&self) -> Vec<(ReplicaId, SocketAddr)> {
         self.loaders_where(|view| view.is_near || view.has_uses())
     }
 
-    /// Loaders sit on the hosts of all engines that are listed.
+    /// Returns the loaders of all listed engines.
     pub(super) fn loaders_of_engines(&self) -> Vec<(ReplicaId, SocketAddr)> {
         self.loaders_where(|_| true)
     }
 
     fn loaders_where(
         &self,
-        is_meant: impl Fn(&ReplicaView) -> bool,
+        is_selected: impl Fn(&ReplicaView) -> bool,
     ) -> Vec<(ReplicaId, SocketAddr)> {
         let machine = self.shared.machine();
         let Some(sheet) = machine.sheet() else {
@@ -427,8 +433,10 @@
         };
         let has_engine =
             |service: &str| sheet.service(service).is_some_and(|service| service.engine.is_some());
-        let engines =
-            machine.table().all().filter(|view| has_engine(&view.record.service) && is_meant(view));
+        let engines = machine
+            .table()
+            .all()
+            .filter(|view| has_engine(&view.record.service) && is_selected(view));
         engines.map(|view| (view.record.id.clone(), self.loader_of(view.record.address))).collect()
     }
 }
--- a/quillcove/src/relay/input/right.rs
+++ b/quillcove/src/relay/input/right.rs
@@ -1,5 +1,5 @@
-//! Keeps the proof young that this relay knows all keys that were taken away: asks other relays, or reads
-//! the store.
+//! Renews the freshness proof, which shows that this relay knows of all revoked keys, by requests to other relays or a
+//! read of the store.
 
 use quillcove_core::access::right::RightStep;
 use quillcove_core::ids::MonoTime;
@@ -9,47 +9,53 @@
 
 use super::InputDuty;
 
-/// Relays that are asked at once: one of them may just have gone.
-const ASKED_AT_ONCE: usize = 2;
+/// Number of relays that get each request, as one of them may just have stopped.
+const RELAYS_PER_REQUEST: usize = 2;
 
-/// The last question to other relays; answers to earlier ones count for nothing.
+/// The last proof request to other relays; responses to earlier ones are ignored.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ProofQuestions {
+pub(super) struct ProofRequests {
     number: u64,
-    asked_at: Option<MonoTime>,
+    requested_at: Option<MonoTime>,
 }
 
 impl InputDuty {
-    /// Asks for a younger proof when this relay's own gets old.
-    pub(super) fn renew_right(&mut self, now: MonoTime) {
-        let step = self.shared.machine().right_step(self.proofs.asked_at, now);
+    /// Requests a more recent freshness proof when that of this relay gets old.
+    pub(super) fn renew_key_validity(&mut self, now: MonoTime) {
+        let step = self.shared.machine().right_step(self.proof_requests.requested_at, now);
         match step {
             RightStep::Rest => return,
             RightStep::Ask => {},
-            RightStep::AskAndRead => self.want(StorePart::Operator, ReadReason::KnowledgeOld, now),
+            RightStep::AskAndRead => {
+                self.request_read(StorePart::Operator, ReadReason::KnowledgeOld, now)
+            },
         }
-        self.proofs = ProofQuestions { number: self.proofs.number + 1, asked_at: Some(now) };
+        self.proof_requests =
+            ProofRequests { number: self.proof_requests.number + 1, requested_at: Some(now) };
         let mut known: Vec<_> = self.relays.values().collect();
-        known.sort_by_key(|known| std::cmp::Reverse(known.read_at));
-        let asked = known.iter().take(ASKED_AT_ONCE).map(|known| known.address);
-        let ask = ProofAsk { relay: self.control, number: self.proofs.number };
-        self.send(&PeerMessage::ProofAsk(ask), asked);
+        known.sort_by_key(|known| std::cmp::Reverse(known.operator_read_at));
+        let receivers = known.iter().take(RELAYS_PER_REQUEST).map(|known| known.address);
+        let request = ProofAsk { relay: self.control_address, number: self.proof_requests.number };
+        self.send(&PeerMessage::ProofAsk(request), receivers);
     }
 
-    /// Tells another relay how old this one's proof is.
-    pub(super) fn answer_proof(&self, ask: &ProofAsk, now: MonoTime) {
-        let Some(word) = self.shared.machine().knowledge().proof(now) else {
+    /// Sends the age of this relay's freshness proof to another relay.
+    pub(super) fn answer_proof_request(&self, request: &ProofAsk, now: MonoTime) {
+        let Some(proof) = self.shared.machine().knowledge().proof(now) else {
             return;
         };
-        let answer = ProofAnswer { number: ask.number, word };
-        self.send(&PeerMessage::Proof(answer), [ask.relay]);
+        let response = ProofAnswer { number: request.number, word: proof };
+        self.send(&PeerMessage::Proof(response), [request.relay]);
     }
 
-    /// Takes the answer to the last question.
-    pub(super) fn take_proof(&mut self, answer: &ProofAnswer) {
-        let asked_at = self.proofs.asked_at.filter(|_| answer.number == self.proofs.number);
-        if let Some(asked_at) = asked_at {
-            self.shared.machine().knowledge_mut().take_proof(&answer.word, asked_at);
+    /// Applies a response to the last proof request.
+    pub(super) fn handle_proof(&mut self, response: &ProofAnswer) {
+        let requested_at = self
+            .proof_requests
+            .requested_at
+            .filter(|_| response.number == self.proof_requests.number);
+        if let Some(requested_at) = requested_at {
+            self.shared.machine().knowledge_mut().take_proof(&response.word, requested_at);
         }
     }
 }
--- a/quillcove/src/relay/input/store.rs
+++ b/quillcove/src/relay/input/store.rs
@@ -1,4 +1,5 @@
-//! What the store publishes, read from it or from another relay.
+//! Applies store changes, whether read from the store or received from another relay, and fetches the state of a relay
+//! that is ahead.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -15,51 +16,51 @@
 
 use super::{FetchedState, InputDuty};
 use crate::process::note_ready;
-use crate::relay::follow::{StoreNews, StoreReading, replicas_of};
+use crate::relay::follow::{StoreReading, StoreUpdate, replica_records};
 use crate::relay::share;
 
-/// Time by which another relay may be ahead in the store before this one reads it anew.
-const BEHIND_LIMIT: Duration = Duration::from_millis(1500);
+/// Time for which another relay may be ahead before this one reads the store again in full.
+const REREAD_DELAY: Duration = Duration::from_millis(1500);
 
-/// Shortest time between two questions to other relays for what they have read.
+/// Shortest time between two requests to other relays for their store state.
 const FETCH_INTERVAL: Duration = Duration::from_millis(300);
 
 impl InputDuty {
-    pub(super) fn take_store(&mut self, news: StoreNews, now: MonoTime) {
-        let part = match &news {
-            StoreNews::Read(reading) => reading.part,
-            StoreNews::Failed { part, .. } => *part,
+    pub(super) fn handle_store_update(&mut self, update: StoreUpdate, now: MonoTime) {
+        let part = match &update {
+            StoreUpdate::Read(reading) => reading.part,
+            StoreUpdate::Failed { part, .. } => *part,
         };
-        self.wanted.remove(&part);
-        match news {
-            StoreNews::Failed { reason, .. } => {
-                if self.store_up.insert(part, false) != Some(false) {
+        self.requested_reads.remove(&part);
+        match update {
+            StoreUpdate::Failed { reason, .. } => {
+                if self.store_answers.insert(part, false) != Some(false) {
                     warn!(self.shared.log, "store lost"; "part" => ?part, "reason" => reason);
                 }
-                self.note_store(now);
+                self.update_store_status(now);
             },
-            StoreNews::Read(reading) => {
-                if self.store_up.insert(part, true) != Some(true) {
+            StoreUpdate::Read(reading) => {
+                if self.store_answers.insert(part, true) != Some(true) {
                     info!(self.shared.log, "store reached"; "part" => ?part,
                         "position" => %reading.position);
                 }
-                self.note_store(now);
-                self.take_reading(reading, now);
+                self.update_store_status(now);
+                self.apply_reading(reading, now);
             },
         }
-        self.note_ready();
+        self.update_readiness();
     }
 
-    fn note_store(&self, now: MonoTime) {
-        let answers = self.store_up.get(&StorePart::Replicas).copied().unwrap_or(true);
-        self.shared.machine().note_store(answers, now);
+    fn update_store_status(&self, now: MonoTime) {
+        let is_answering = self.store_answers.get(&StorePart::Replicas).copied().unwrap_or(true);
+        self.shared.machine().note_store(is_answering, now);
     }
 
-    /// Takes what was read, and tells other relays at once when something changed that matters.
-    fn take_reading(&mut self, reading: StoreReading, now: MonoTime) {
+    /// Applies a completed read, and sends heartbeats to near relays at once if it contains a relevant change.
+    fn apply_reading(&mut self, reading: StoreReading, now: MonoTime) {
         let complete_at = reading.complete_at;
         let (part, position) = (reading.part, reading.position);
-        let is_whole = reading.is_whole;
+        let is_full = reading.is_full;
         let known = self.shared.machine().read().of(part);
         if position.precedes_era(known.era) {
             info!(self.shared.log, "reading of an earlier era is passed over"; "part" => ?part,
@@ -67,30 +68,32 @@
             return;
         }
         self.enter_era(position, now);
-        self.note_lost_sheet(&reading);
+        self.track_lost_configuration(&reading);
         let proved_at = reading.proved_at;
-        let changed = match is_whole && part == StorePart::Replicas {
-            true => self.take_listing(reading, now),
-            false => self.take_events(reading, now),
+        let changed = match is_full && part == StorePart::Replicas {
+            true => self.apply_listing(reading, now),
+            false => self.apply_events(reading, now),
         };
-        self.shared.waiters.tell_all();
+        self.shared.waiters.notify_all();
         let mut machine = self.shared.machine();
         machine.knowledge_mut().note_read(part, position, complete_at);
-        if let Some(at) = proved_at.filter(|_| part == StorePart::Operator && !self.is_sheet_lost) {
+        if let Some(at) =
+            proved_at.filter(|_| part == StorePart::Operator && !self.is_configuration_unknown)
+        {
             machine.knowledge_mut().note_proof(at);
         }
-        if is_whole {
+        if is_full {
             machine.knowledge_mut().note_whole(part, position);
         }
         if let Some(changed) = changed {
             let changed = StorePosition { era: position.era, revision: changed };
             machine.knowledge_mut().note_change(part, changed);
             drop(machine);
-            self.tell_near(now);
+            self.send_near_heartbeats(now);
         }
     }
 
-    /// Notes that the store has come back from an older copy, if it has.
+    /// Enters the era of a read, and logs if the store was restored from an older copy.
     fn enter_era(&self, position: StorePosition, now: MonoTime) {
         let before = self.shared.machine().enter_era(position.era, now);
         if let Some(before) = before {
@@ -100,73 +103,77 @@
         }
     }
 
-    /// A sheet that was published and could not be read leaves what is in force unknown until one can.
-    fn note_lost_sheet(&mut self, reading: &StoreReading) {
+    /// Tracks whether the last published configuration could be parsed. If not, the configuration in force is unknown
+    /// until one can be parsed, so that reads give no freshness proof.
+    fn track_lost_configuration(&mut self, reading: &StoreReading) {
         let has_sheet = reading.events.iter().any(|event| matches!(event, StoreEvent::Sheet(_)));
-        self.is_sheet_lost = match reading.part {
+        self.is_configuration_unknown = match reading.part {
             StorePart::Operator => {
-                reading.proved_at.is_none() || (self.is_sheet_lost && !has_sheet)
+                reading.proved_at.is_none() || (self.is_configuration_unknown && !has_sheet)
             },
-            StorePart::Replicas => self.is_sheet_lost,
+            StorePart::Replicas => self.is_configuration_unknown,
         };
     }
 
-    /// Takes the whole listing; gives the revision of the last change, if anything changed.
-    fn take_listing(&mut self, reading: StoreReading, now: MonoTime) -> Option<u64> {
-        let last = reading.changed_at.iter().copied().max();
-        let changes = self.shared.machine().list_all(replicas_of(reading.events), now);
-        let has_lost = changes.iter().any(|change| !matches!(change, BeliefChange::Listed(_)));
-        // What is gone has no entry that could tell when it went.
-        let changed = if has_lost { Some(reading.position.revision) } else { last };
+    /// Applies the full listing of replicas; returns the revision of the last change, if anything changed.
+    fn apply_listing(&mut self, reading: StoreReading, now: MonoTime) -> Option<u64> {
+        let last_revision = reading.changed_at.iter().copied().max();
+        let changes = self.shared.machine().list_all(replica_records(reading.events), now);
+        let has_removals = changes.iter().any(|change| !matches!(change, BeliefChange::Listed(_)));
+        // A replica that is gone has no entry with the revision of its removal.
+        let change_revision =
+            if has_removals { Some(reading.position.revision) } else { last_revision };
         let is_changed = !changes.is_empty();
-        self.take_changes(changes, now);
-        changed.filter(|_| is_changed)
+        self.announce_changes(changes, now);
+        change_revision.filter(|_| is_changed)
     }
 
-    /// Takes changes one after the other; gives the revision of the last one that matters.
-    fn take_events(&mut self, reading: StoreReading, now: MonoTime) -> Option<u64> {
-        let mut last = None;
+    /// Applies changes in order; returns the revision of the last relevant one.
+    fn apply_events(&mut self, reading: StoreReading, now: MonoTime) -> Option<u64> {
+        let mut last_revision = None;
         let mut all_changes = Vec::new();
-        if reading.is_whole && reading.part == StorePart::Operator {
-            // A hall that is not named in the whole part is in use.
-            let emptied = emptied_in(&reading.events);
-            let changes = self.shared.machine().set_all_emptied(&emptied, now);
-            last = last.max((!changes.is_empty()).then_some(reading.position.revision));
+        if reading.is_full && reading.part == StorePart::Operator {
+            // A hall that the full operator's part does not name is in use.
+            let evacuated = evacuated_halls(&reading.events);
+            let changes = self.shared.machine().set_all_emptied(&evacuated, now);
+            last_revision =
+                last_revision.max((!changes.is_empty()).then_some(reading.position.revision));
             all_changes.extend(changes);
         }
-        let mut told = Some(Vec::new());
+        let mut sendable = Some(Vec::new());
         for (event, revision) in reading.events.into_iter().zip(reading.changed_at) {
-            let effect = self.shared.machine().take_event(event, reading.is_whole, now);
+            let effect = self.shared.machine().take_event(event, reading.is_full, now);
             if effect.matters {
-                last = last.max(Some(revision));
+                last_revision = last_revision.max(Some(revision));
                 let change = effect.told.map(|event| ToldChange { revision, event });
-                told = told.zip(change).map(|(told, change)| push(told, change));
+                sendable =
+                    sendable.zip(change).map(|(sendable, change)| appended(sendable, change));
             }
             all_changes.extend(effect.changes);
         }
-        if let (Some(after), Some(changes)) = (reading.after, told) {
+        if let (Some(after), Some(changes)) = (reading.after, sendable) {
             let age = now.saturating_sub(reading.complete_at);
             let (part, StorePosition { era, revision }) = (reading.part, reading.position);
-            self.tell_change(ChangeBeacon { part, era, after, revision, age, changes });
+            self.send_change(ChangeBeacon { part, era, after, revision, age, changes });
         }
-        // Together, as loaders and relays are told once of all engines that are new.
-        self.take_changes(all_changes, now);
-        last
+        // All together, so that loaders and relays get one message for all new engines.
+        self.announce_changes(all_changes, now);
+        last_revision
     }
 
-    /// Logs what changed; loaders of new engines learn at once that this relay is there, as they
-    /// report only to relays that they have heard.
-    pub(super) fn take_changes(&mut self, changes: Vec<BeliefChange>, now: MonoTime) {
-        let listed = |change: &BeliefChange| match change {
+    /// Logs changes, and sends messages to the loaders of new engines at once, as loaders report only to relays from
+    /// which they have received one.
+    pub(super) fn announce_changes(&mut self, changes: Vec<BeliefChange>, now: MonoTime) {
+        let listed_id = |change: &BeliefChange| match change {
             BeliefChange::Listed(id) => Some(id.clone()),
             _ => None,
         };
-        let new: HashSet<ReplicaId> = changes.iter().filter_map(listed).collect();
+        let new_engines: HashSet<ReplicaId> = changes.iter().filter_map(listed_id).collect();
         self.log_changes(changes);
-        match new.is_empty() {
+        match new_engines.is_empty() {
             true => {},
-            false if self.last_beacon == MonoTime::ZERO => self.tell_all(now),
-            false => self.tell_loaders_of(&new),
+            false if self.last_heartbeat_at == MonoTime::ZERO => self.send_heartbeats(now),
+            false => self.report_uses_of(&new_engines),
         }
     }
 
@@ -224,81 +231,83 @@
             "position" => %machine.read().replicas);
     }
 
-    pub(super) fn note_ready(&self) {
+    pub(super) fn update_readiness(&self) {
         let is_ready = self.shared.machine().is_ready();
         note_ready(&self.shared.is_ready, is_ready, &self.shared.log);
     }
 
-    /// A relay that stays behind another one asks it for what it has read. One whose own store
-    /// seems well reads that anew besides, as its watch may hang on a dead connection.
-    pub(super) fn compare(&mut self, beacon: &RelayBeacon, now: MonoTime) {
+    /// Fetches the store state of another relay while this one stays behind it. If the store seems to answer this
+    /// relay, it also reads the store again, as its watch may hang on a dead connection.
+    pub(super) fn compare_positions(&mut self, heartbeat: &RelayBeacon, now: MonoTime) {
         let (own_sheet, own) = {
             let machine = self.shared.machine();
             (machine.sheet().map_or(0, |sheet| sheet.version), machine.read())
         };
-        let lags = |part| !self.is_part_up(part) && beacon.word.read.of(part) > own.of(part);
-        let is_behind =
-            beacon.sheet > own_sheet || lags(StorePart::Operator) || lags(StorePart::Replicas);
+        let is_ahead_in =
+            |part| !self.is_part_up(part) && heartbeat.word.read.of(part) > own.of(part);
+        let is_behind = heartbeat.sheet > own_sheet
+            || is_ahead_in(StorePart::Operator)
+            || is_ahead_in(StorePart::Replicas);
         if !is_behind {
-            if beacon.word.read.is_covered_by(&own) {
+            if heartbeat.word.read.is_covered_by(&own) {
                 self.behind_since = None;
             }
             return;
         }
         let since = *self.behind_since.get_or_insert(now);
-        let behind = now.saturating_sub(since);
+        let behind_for = now.saturating_sub(since);
         let is_store_up =
             self.is_part_up(StorePart::Operator) && self.is_part_up(StorePart::Replicas);
-        if is_store_up && behind > BEHIND_LIMIT {
-            self.hurry.send_modify(|count| *count += 1);
+        if is_store_up && behind_for > REREAD_DELAY {
+            self.reread.send_modify(|count| *count += 1);
         }
-        let is_due = !is_store_up || behind > FETCH_INTERVAL;
-        if is_due && now.saturating_sub(self.last_fetch) >= FETCH_INTERVAL {
-            self.last_fetch = now;
-            info!(self.shared.log, "behind another relay"; "relay" => &beacon.host,
-                "own_sheet" => own_sheet, "sheet" => beacon.sheet,
+        let is_due = !is_store_up || behind_for > FETCH_INTERVAL;
+        if is_due && now.saturating_sub(self.last_fetch_at) >= FETCH_INTERVAL {
+            self.last_fetch_at = now;
+            info!(self.shared.log, "behind another relay"; "relay" => &heartbeat.host,
+                "own_sheet" => own_sheet, "sheet" => heartbeat.sheet,
                 "own_operator_position" => %own.operator,
-                "operator_position" => %beacon.word.read.operator,
+                "operator_position" => %heartbeat.word.read.operator,
                 "own_replica_position" => %own.replicas,
-                "replica_position" => %beacon.word.read.replicas);
-            self.fetch(beacon.address);
+                "replica_position" => %heartbeat.word.read.replicas);
+            self.fetch_snapshot(heartbeat.address);
         }
     }
 
-    /// Whether the last call of a part was answered.
+    /// Returns whether the store answered the last call for a part; `false` before the first call.
     fn is_part_up(&self, part: StorePart) -> bool {
-        self.store_up.get(&part).copied().unwrap_or(false)
+        self.store_answers.get(&part).copied().unwrap_or(false)
     }
 
-    fn fetch(&self, address: SocketAddr) {
-        let publish = self.publish.clone();
-        let asked_at = self.shared.clock.now();
+    fn fetch_snapshot(&self, address: SocketAddr) {
+        let sender = self.snapshot_sender.clone();
+        let requested_at = self.shared.clock.now();
         tokio::spawn(async move {
-            let published = share::fetch(address).await;
-            let published = published.map(|state| Box::new(FetchedState { state, asked_at }));
-            // The receiver is gone only when the process ends.
-            let _ = publish.send(published).await;
+            let snapshot = share::fetch(address).await;
+            let snapshot = snapshot.map(|state| Box::new(FetchedState { state, requested_at }));
+            // The receiver is dropped only when the process exits.
+            let _ = sender.send(snapshot).await;
         });
     }
 
-    pub(super) fn take_published(
+    pub(super) fn handle_snapshot(
         &mut self,
-        published: Result<Box<FetchedState>, String>,
+        snapshot: Result<Box<FetchedState>, String>,
         now: MonoTime,
     ) {
-        match published {
+        match snapshot {
             Ok(fetched) => {
-                let FetchedState { state, asked_at } = *fetched;
+                let FetchedState { state, requested_at } = *fetched;
                 let proof = state.proof;
                 let mut machine = self.shared.machine();
                 let changes = machine.take_published(state, now);
-                if let Some(word) = proof {
-                    machine.knowledge_mut().take_proof(&word, asked_at);
+                if let Some(proof) = proof {
+                    machine.knowledge_mut().take_proof(&proof, requested_at);
                 }
                 drop(machine);
-                self.take_changes(changes, now);
-                self.shared.waiters.tell_all();
-                self.note_ready();
+                self.announce_changes(changes, now);
+                self.shared.waiters.notify_all();
+                self.update_readiness();
             },
             Err(reason) => {
                 warn!(self.shared.log, "another relay does not answer"; "reason" => reason);
@@ -307,8 +316,8 @@
     }
 }
 
-/// The halls that a reading of the whole operator's part names as to be emptied.
-fn emptied_in(events: &[StoreEvent]) -> Vec<HallName> {
+/// Returns the evacuated halls in a full read of the operator's part.
+fn evacuated_halls(events: &[StoreEvent]) -> Vec<HallName> {
     let hall = |event: &StoreEvent| match event {
         StoreEvent::HallEmptied(hall) => Some(hall.clone()),
         _ => None,
@@ -316,7 +325,7 @@
     events.iter().filter_map(hall).collect()
 }
 
-fn push(mut told: Vec<ToldChange>, change: ToldChange) -> Vec<ToldChange> {
-    told.push(change);
-    told
+fn appended(mut changes: Vec<ToldChange>, change: ToldChange) -> Vec<ToldChange> {
+    changes.push(change);
+    changes
 }
--- a/quillcove/src/relay/waiters.rs
+++ b/quillcove/src/relay/waiters.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an adapter, by adapter, so that news wakes only those that it is for.
+//! Requests that wait for an adapter, grouped by adapter, so that a loaded adapter notifies only the requests for it.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,11 +6,11 @@
 use quillcove_core::relay::beacon::{AdapterKey, HeldAdapter};
 use tokio::sync::Notify;
 
-/// Those who wait for one adapter.
+/// Requests that wait for one adapter.
 #[derive(Default)]
 struct WaitingGroup {
-    news: Arc<Notify>,
-    seats: usize,
+    notify: Arc<Notify>,
+    members: usize,
 }
 
 /// All requests of a relay that wait for adapters.
@@ -24,28 +24,28 @@
         self.groups.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a request among those who wait for an adapter, for as long as its seat lives.
+    /// Registers a request as waiting for an adapter until the returned guard is dropped.
     pub fn join(&self, key: &AdapterKey) -> WaitingSeat<'_> {
         let mut groups = self.groups();
         let group = groups.entry(key.clone()).or_default();
-        group.seats += 1;
-        WaitingSeat { waiters: self, key: key.clone(), news: group.news.clone() }
+        group.members += 1;
+        WaitingSeat { waiters: self, key: key.clone(), news: group.notify.clone() }
     }
 
-    /// Wakes those who wait for adapters that an engine holds now.
-    pub fn tell_held(&self, held: &[HeldAdapter]) {
+    /// Notifies the requests that wait for adapters which an engine now holds.
+    pub fn notify_loaded(&self, held: &[HeldAdapter]) {
         let groups = self.groups();
-        let told = held.iter().filter_map(|held| groups.get(&held.key));
-        told.for_each(|group| group.news.notify_waiters());
+        let notified = held.iter().filter_map(|held| groups.get(&held.key));
+        notified.for_each(|group| group.notify.notify_waiters());
     }
 
-    /// Wakes all.
-    pub fn tell_all(&self) {
-        self.groups().values().for_each(|group| group.news.notify_waiters());
+    /// Notifies all waiting requests.
+    pub fn notify_all(&self) {
+        self.groups().values().for_each(|group| group.notify.notify_waiters());
     }
 }
 
-/// One request among those who wait.
+/// Registration of one waiting request, removed on drop.
 pub struct WaitingSeat<'a> {
     waiters: &'a AdapterWaiters,
     key: AdapterKey,
@@ -56,8 +56,8 @@
     fn drop(&mut self) {
         let mut groups = self.waiters.groups();
         if let Some(group) = groups.get_mut(&self.key) {
-            group.seats -= 1;
-            if group.seats == 0 {
+            group.members -= 1;
+            if group.members == 0 {
                 groups.remove(&self.key);
             }
         }
