--- a/quillcove/src/bundle/watch.rs
+++ b/quillcove/src/bundle/watch.rs
@@ -236,7 +236,7 @@
         let head: BundleHead = match serde_json::from_slice(content) {
             Ok(head) => head,
             Err(error) => {
-                warn!(self.log, "failed to parse the bundle's head"; "error" => %error);
+                warn!(self.log, "the bundle's announcement can not be read"; "error" => %error);
                 self.revision = Some(revision);
                 return true;
             },
@@ -292,7 +292,7 @@
                 }
             },
             Err(error) => {
-                warn!(self.log, "bundle rejected"; "version" => head.version, "error" => %error);
+                warn!(self.log, "bundle refused"; "version" => head.version, "error" => %error);
             },
         }
     }
--- a/quillcove/src/loader/crashes.rs
+++ b/quillcove/src/loader/crashes.rs
@@ -23,7 +23,7 @@
     /// Records the loads that were in progress when the engine's process exited.
     pub(super) fn record_broken_loads(&mut self, broken: &[BrokenLoad], now: MonoTime) {
         for load in broken {
-            info!(self.log, "engine exited during a load"; "model" => &load.key.model,
+            info!(self.log, "engine ended while it loaded"; "model" => &load.key.model,
                 "adapter" => &load.key.adapter, "version" => load.version,
                 "replica" => &load.run.replica);
             let identity = load_identity(&load.key, load.version);
--- a/quillcove/src/loader/mod.rs
+++ b/quillcove/src/loader/mod.rs
@@ -186,7 +186,7 @@
                 _ = stopped.wait_for(|is_stopped| *is_stopped) => break,
                 arrival = self.socket.receive() => match arrival {
                     Ok(arrival) => self.handle_datagram(arrival),
-                    Err(error) => warn!(self.log, "failed to read datagrams"; "error" => %error),
+                    Err(error) => warn!(self.log, "cannot receive datagrams"; "error" => %error),
                 },
                 () = sleep_until(next_report) => {
                     // The delay applies after a failed read too.
@@ -223,7 +223,7 @@
         let (message, from) = match arrival {
             PeerArrival::Message(message, from) => (*message, from),
             PeerArrival::Garbage(from, error) => {
-                warn!(self.log, "failed to decode datagram"; "from" => %from, "error" => %error);
+                warn!(self.log, "cannot decode datagram"; "from" => %from, "error" => %error);
                 return;
             },
         };
@@ -239,7 +239,7 @@
             PeerMessage::Crash(records) => drop(self.crashes.take(&records, now)),
             PeerMessage::CrashAsk(ask) => self.send_all_crashes(ask.relay, now),
             PeerMessage::Load(ask) => {
-                info!(self.log, "load requested"; "relay" => %from, "replica" => &ask.replica,
+                info!(self.log, "load asked for"; "relay" => %from, "replica" => &ask.replica,
                     "model" => &ask.model, "adapter" => ask.adapter.as_deref().unwrap_or("-"),
                     "version" => ask.version);
                 self.machine.take_ask(ask, now);
@@ -263,7 +263,7 @@
     /// Records that a relay is alive, and sends it a full report if it is new.
     fn record_relay(&mut self, relay: SocketAddr, now: MonoTime) {
         if self.relays.hear(relay, now) {
-            info!(self.log, "relay discovered"; "relay" => %relay);
+            info!(self.log, "relay heard"; "relay" => %relay);
             self.send_full_report(relay, now);
         }
     }
@@ -275,19 +275,19 @@
         let is_up = report.is_some();
         if is_up != self.is_engine_up {
             self.is_engine_up = is_up;
-            info!(self.log, "engine reachability changed"; "is_up" => is_up);
+            info!(self.log, "engine reachable"; "is_up" => is_up);
         }
         let Some(report) = report else {
             return false;
         };
         let now = self.clock.now();
         if report.is_leaving && !self.machine.report().is_leaving {
-            info!(self.log, "engine is draining"; "born" => report.born);
+            info!(self.log, "engine says that it leaves"; "born" => report.born);
         }
         let change = self.machine.take_report(report, now);
         self.record_broken_loads(&change.broken, now);
         for (held, load) in change.arrived {
-            info!(self.log, "adapter loaded"; "model" => &held.model, "adapter" => &held.adapter,
+            info!(self.log, "adapter held"; "model" => &held.model, "adapter" => &held.adapter,
                 "took_ms" => load.took.as_millis() as u64, "was_warm" => load.was_warm,
                 "incoming" => self.machine.report().incoming.len());
             self.record_good_load(&held, now);
@@ -328,7 +328,7 @@
     fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamNotice {
         let (notice, fault) = heads::read_notice(status, headers, SystemTime::now());
         if let Some(fault) = fault {
-            warn!(self.log, "failed to parse the engine's status headers"; "fault" => %fault);
+            warn!(self.log, "word of the engine not understood"; "fault" => %fault);
         }
         notice
     }
@@ -336,7 +336,7 @@
     fn expire_relays(&mut self, now: MonoTime) {
         self.crashes.tick(now);
         for relay in self.relays.forget(now) {
-            info!(self.log, "relay timed out"; "relay" => %relay);
+            info!(self.log, "relay no longer heard"; "relay" => %relay);
         }
     }
 
@@ -429,7 +429,7 @@
         let is_load = order.kind == OrderKind::Load;
         self.metrics.ordered(is_load, outcome_label(outcome));
         let basis = &order.basis;
-        info!(self.log, "order sent"; "kind" => ?order.kind, "replica" => &order.replica,
+        info!(self.log, "order given"; "kind" => ?order.kind, "replica" => &order.replica,
             "model" => &order.model, "adapter" => order.adapter.as_deref().unwrap_or("-"),
             "version" => order.version, "fence" => order.fence, "outcome" => ?outcome,
             "held" => basis.held, "coming" => basis.coming, "places" => basis.places,
