--- a/quillcove/src/relay/answers.rs
+++ b/quillcove/src/relay/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the relay's own, and what all answers to callers have in common.
+//! Responses that the relay generates itself, and the parts that all responses to callers share.
 
 use std::time::Duration;
 
@@ -13,54 +13,59 @@
 
 use super::shared::RelayShared;
 
-/// Why an answer's body breaks off.
+/// Why the body of a response was cut short.
 #[derive(Debug, thiserror::Error)]
-pub enum BodyBreak {
-    /// The upstream's answer broke off, and nothing could go on in its place.
-    #[error("the upstream broke off: {0}")]
+pub enum BodyError {
+    /// The upstream's response was interrupted and could not be resumed at another replica.
+    #[error("upstream response interrupted: {0}")]
     Upstream(String),
-    /// The time that the route gives is over.
-    #[error("the request's time is over")]
+    /// The request's deadline passed.
+    #[error("request deadline passed")]
     TimeOver,
 }
 
-/// Body of an answer to a caller.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BodyBreak>;
+/// Body of a response to a caller.
+pub type ResponseBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Answers name the request that they belong to.
-pub fn with_id(mut answer: Response<AnswerBody>, id: Option<HeaderValue>) -> Response<AnswerBody> {
+/// Adds the request's id to a response that does not carry one.
+pub fn with_request_id(
+    mut response: Response<ResponseBody>,
+    id: Option<HeaderValue>,
+) -> Response<ResponseBody> {
     if let Some(id) = id {
-        answer.headers_mut().entry(heads::id_header()).or_insert(id);
+        response.headers_mut().entry(heads::id_header()).or_insert(id);
     }
-    answer
+    response
 }
 
+/// Asks the caller to close its connection if the relay is in its planned stop.
 pub fn close_when_stopping(
     shared: &RelayShared,
-    mut answer: Response<AnswerBody>,
-) -> Response<AnswerBody> {
+    mut response: Response<ResponseBody>,
+) -> Response<ResponseBody> {
     if shared.machine().is_stopping() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
-/// An answer of the relay's own, with an empty body.
-pub fn own_answer(status: StatusCode, retry_after: Option<Duration>) -> Response<AnswerBody> {
+/// Builds a response with an empty body.
+pub fn empty_response(status: StatusCode, retry_after: Option<Duration>) -> Response<ResponseBody> {
     let body = Full::new(Bytes::new()).map_err(|never| match never {}).boxed_unsync();
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status;
-    if let Some(pause) = retry_after {
-        let seconds = format!("{:.3}", pause.as_secs_f64());
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    if let Some(delay) = retry_after {
+        let seconds = format!("{:.3}", delay.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
-            answer.headers_mut().insert(RETRY_AFTER, value);
+            response.headers_mut().insert(RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
 
-/// The answer for a refusal: 401, 429 and 503 promise that the request did not run and never will.
-pub fn refusal_answer(refusal: &WorkRefusal) -> Response<AnswerBody> {
+/// Builds the response for a refusal. The statuses 401, 429 and 503 guarantee that the request did
+/// not run and never will.
+pub fn refusal_response(refusal: &WorkRefusal) -> Response<ResponseBody> {
     let status = match (refusal.verdict, refusal.reason) {
         (RunVerdict::NotRun, RefusalReason::KeyUnknown) => StatusCode::UNAUTHORIZED,
         (RunVerdict::NotRun, RefusalReason::LimitReached) => StatusCode::TOO_MANY_REQUESTS,
@@ -68,10 +73,10 @@
         (_, RefusalReason::DeadlinePassed) => StatusCode::GATEWAY_TIMEOUT,
         (RunVerdict::MayHaveRun | RunVerdict::Ran, _) => StatusCode::BAD_GATEWAY,
     };
-    own_answer(status, refusal.retry_after)
+    empty_response(status, refusal.retry_after)
 }
 
-/// Tells whether an answer of this kind of route is a stream of events.
+/// Returns whether a response with this status, on a route of this kind, is a stream of events.
 pub fn is_event_stream(kind: RouteKind, status: StatusCode) -> bool {
     kind.is_stream() && status.is_success()
 }
--- a/quillcove/src/relay/forward.rs
+++ b/quillcove/src/relay/forward.rs
@@ -16,7 +16,9 @@
 use quillcove_platform::heads;
 use slog::info;
 
-use super::answers::{AnswerBody, close_when_stopping, own_answer, refusal_answer, with_id};
+use super::answers::{
+    ResponseBody, close_when_stopping, empty_response, refusal_response, with_request_id,
+};
 use super::attempt::{self, AttemptEnd, AttemptFailure};
 use super::ends;
 use super::request::{OpenRequest, Rejection, prepare};
@@ -38,7 +40,7 @@
     shared: Arc<RelayShared>,
     request: Request<Incoming>,
     caller: CallerDigest,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let received = shared.clock.now();
     let id = request.headers().get(heads::id_header()).cloned();
     let answer = match prepare(&shared, request, caller, received).await {
@@ -48,15 +50,15 @@
             info!(shared.log, "request refused"; "id" => logged(&id),
                 "reason" => refusal.reason.label(),
                 "come_back_ms" => refusal.retry_after.map(|pause| pause.as_millis() as u64));
-            refusal_answer(&refusal)
+            refusal_response(&refusal)
         },
         Err(Rejection::Denied(denial)) => {
             info!(shared.log, "request denied"; "id" => logged(&id),
                 "status" => denial.status.as_u16(), "reason" => denial.reason);
-            own_answer(denial.status, None)
+            empty_response(denial.status, None)
         },
     };
-    close_when_stopping(&shared, with_id(answer, id))
+    close_when_stopping(&shared, with_request_id(answer, id))
 }
 
 /// A request's id as the other lines of the log give it.
@@ -65,7 +67,7 @@
 }
 
 /// Tries until there is an answer or nothing more may be tried.
-async fn run(mut open: OpenRequest) -> Response<AnswerBody> {
+async fn run(mut open: OpenRequest) -> Response<ResponseBody> {
     loop {
         let order = match next_step(&mut open).await {
             Ok(order) => order,
@@ -132,7 +134,7 @@
 }
 
 /// Ends a request for which nothing more can be sent.
-fn give_up(open: OpenRequest, refusal: WorkRefusal) -> Response<AnswerBody> {
+fn give_up(open: OpenRequest, refusal: WorkRefusal) -> Response<ResponseBody> {
     if refusal.reason == RefusalReason::EndsUpstreams {
         ends::log_cause(&open);
     }
@@ -145,15 +147,15 @@
 }
 
 /// Answers with a refusal of the relay's own.
-fn finish_refused(mut open: OpenRequest, refusal: &WorkRefusal) -> Response<AnswerBody> {
+fn finish_refused(mut open: OpenRequest, refusal: &WorkRefusal) -> Response<ResponseBody> {
     open.shared.metrics.refused(refusal.reason, open.class());
     open.come_back = refusal.retry_after;
-    let answer = refusal_answer(refusal);
+    let answer = refusal_response(refusal);
     open.finish(refusal.verdict, answer.status().as_u16(), refusal.reason.label());
     answer
 }
 
-fn pass_whole(mut open: OpenRequest, answer: Response<Bytes>) -> Response<AnswerBody> {
+fn pass_whole(mut open: OpenRequest, answer: Response<Bytes>) -> Response<ResponseBody> {
     let status = answer.status().as_u16();
     open.finish(RunVerdict::Ran, status, "answered");
     let now = open.shared.clock.now();
@@ -260,7 +262,7 @@
     }
 }
 
-fn finish_failed(open: OpenRequest, answer: FailedAnswer) -> Response<AnswerBody> {
+fn finish_failed(open: OpenRequest, answer: FailedAnswer) -> Response<ResponseBody> {
     match answer {
         FailedAnswer::Refused(refusal) => finish_refused(open, &refusal),
         FailedAnswer::Passed(answer) => pass_whole(open, answer),
--- a/quillcove/src/relay/stream.rs
+++ b/quillcove/src/relay/stream.rs
@@ -13,7 +13,7 @@
 use quillcove_platform::heads;
 use slog::info;
 
-use super::answers::{AnswerBody, BodyBreak};
+use super::answers::{BodyError, ResponseBody};
 use super::attempt::{self, AttemptEnd, AttemptFailure, LiveStream};
 use super::ends;
 use super::events::{self, EventSplitter};
@@ -42,7 +42,7 @@
 }
 
 /// The answer that passes a stream on.
-pub fn pass(open: OpenRequest, live: Box<LiveStream>) -> Response<AnswerBody> {
+pub fn pass(open: OpenRequest, live: Box<LiveStream>) -> Response<ResponseBody> {
     let status = live.head.status;
     let mut headers = heads::end_to_end(&live.head.headers);
     // The length of a resumed stream is not known beforehand.
@@ -66,7 +66,7 @@
 
 async fn next_frame(
     relay: Option<EventRelay>,
-) -> Option<(Result<Frame<Bytes>, BodyBreak>, Option<EventRelay>)> {
+) -> Option<(Result<Frame<Bytes>, BodyError>, Option<EventRelay>)> {
     let mut relay = relay?;
     loop {
         match relay.step().await {
@@ -81,7 +81,7 @@
             StreamStep::TimeOver => {
                 relay.close(AttemptFate::Abandoned);
                 relay.open.finish(RunVerdict::MayHaveRun, 0, "time over in the stream");
-                return Some((Err(BodyBreak::TimeOver), None));
+                return Some((Err(BodyError::TimeOver), None));
             },
             StreamStep::Broken(reason) => {
                 if let Some(live) = &relay.live {
@@ -90,7 +90,7 @@
                 relay.close(AttemptFate::Failed);
                 if !relay.resume(&reason).await {
                     relay.open.finish(RunVerdict::MayHaveRun, 0, reason.as_str());
-                    return Some((Err(BodyBreak::Upstream(reason)), None));
+                    return Some((Err(BodyError::Upstream(reason)), None));
                 }
             },
         }
