--- a/quillcove/src/relay/attempt.rs
+++ b/quillcove/src/relay/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at a replica, and what its end means.
+//! Sends a request to one replica and classifies the outcome. `forward` and `stream` decide from it
+//! whether the request is retried.
 
 use std::time::{Duration, SystemTime};
 
@@ -20,21 +21,21 @@
 use super::pool::ReplicaConnection;
 use super::request::OpenRequest;
 
-/// Largest answer that is read whole before it is passed on.
-const ANSWER_LIMIT: usize = 8 << 20;
+/// Largest response body, in bytes, that is buffered before it is forwarded.
+const RESPONSE_SIZE_LIMIT: usize = 8 << 20;
 
-/// Silence after which a repeatable plain call is tried elsewhere: more than the longest work that
-/// the users name for one.
-const SILENCE_LIMIT: Duration = Duration::from_millis(350);
+/// Time without a response after which a call on a safe route is retried on another replica. Longer
+/// than the longest processing time that the requirements give for such a call.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Longest time for which a connection may have been unused to carry a request that must not run
-/// twice: if it breaks, the request can not be sent again.
-const FRESH_ENOUGH: Duration = Duration::from_millis(800);
+/// Longest idle time of a pooled connection that may carry a request of a route that is not safe.
+/// Such a request must not run twice, so it cannot be sent again if the connection breaks.
+const NON_SAFE_MAX_IDLE: Duration = Duration::from_millis(800);
 
-/// Times that a kept connection may turn out closed before a new one is made.
-const STALE_LIMIT: u32 = 2;
+/// Number of pooled connections that may turn out to be closed before a new one is opened.
+const STALE_CONNECTION_LIMIT: u32 = 2;
 
-/// A stream whose head has come.
+/// A stream whose response head has been received.
 pub struct LiveStream {
     pub head: http::response::Parts,
     pub body: Incoming,
@@ -42,25 +43,28 @@
     pub order: AttemptOrder,
 }
 
-/// Why an attempt brought no answer for the caller.
+/// Why an attempt produced no response for the caller.
 pub enum AttemptFailure {
-    /// Nothing left this process.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// Nothing left this process: since it was chosen, the replica took no more work.
+    /// No byte of the request was sent: the replica stopped accepting work after it was chosen.
     Withheld,
-    /// The replica says that it did not run the request.
+    /// The replica reported that it did not run the request; holds the status.
     Refused(u16),
-    /// The replica is another one (`true`), or does not hold what is asked for.
+    /// Another replica runs at this address (`true`), or the replica does not hold the requested
+    /// adapter (`false`).
     Misdirected(bool),
-    /// The replica ran the request and failed; this is its answer.
+    /// The replica ran the request and failed with this response.
     Errored(Box<Response<Bytes>>),
-    /// It may have run; the answer broke off, is not this request's, or never came.
+    /// The request may have run: the response was interrupted, belongs to another request, or was
+    /// never received.
     Lost(String),
-    /// The request's own time is over.
+    /// The request's deadline passed.
     TimeOver,
 }
 
 impl AttemptFailure {
+    /// Returns the failure's name in the log.
     pub fn label(&self) -> &'static str {
         match self {
             Self::NotSent(_) => "not_sent",
@@ -74,16 +78,17 @@
         }
     }
 
+    /// Returns the error message or the replica's status, for the log.
     pub fn detail(&self) -> String {
         match self {
             Self::NotSent(reason) | Self::Lost(reason) => reason.clone(),
             Self::Refused(status) => status.to_string(),
-            Self::Errored(answer) => answer.status().as_u16().to_string(),
+            Self::Errored(response) => response.status().as_u16().to_string(),
             Self::Misdirected(_) | Self::TimeOver | Self::Withheld => String::new(),
         }
     }
 
-    /// What it tells of the replica's health.
+    /// Returns what the failure means for the replica's health.
     pub fn fate(&self) -> AttemptFate {
         match self {
             Self::NotSent(_) | Self::Lost(_) | Self::Errored(_) => AttemptFate::Failed,
@@ -95,25 +100,25 @@
 
 /// How an attempt ended.
 pub enum AttemptEnd {
-    /// A whole answer.
-    Whole(Response<Bytes>),
-    /// A stream of events has begun.
+    /// A complete response was received.
+    Complete(Response<Bytes>),
+    /// A stream of events started.
     Stream(Box<LiveStream>),
-    /// No answer.
+    /// There is no response for the caller.
     Failed(AttemptFailure),
 }
 
-/// Counts an attempt at its replica as long as it lasts; an attempt that is dropped on the way was
-/// abandoned by its caller.
+/// Reports an attempt to the machine as abandoned if it is dropped before its outcome is known,
+/// which happens when the caller disconnects.
 struct AttemptGuard<'a> {
     open: &'a OpenRequest,
     replica: &'a str,
-    is_handed_over: bool,
+    is_finished: bool,
 }
 
 impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
-        if !self.is_handed_over {
+        if !self.is_finished {
             let now = self.open.shared.clock.now();
             let key = self.open.query.adapter.as_ref();
             self.open.shared.machine().end(self.replica, key, AttemptFate::Abandoned, now);
@@ -121,7 +126,8 @@
     }
 }
 
-/// Sends a request to one replica. When it fails, the caller tells the machine how.
+/// Sends a request to one replica. Reports a complete response to the machine; failures and streams
+/// are left for the calling function to report.
 pub async fn send(
     open: &mut OpenRequest,
     order: &AttemptOrder,
@@ -130,18 +136,18 @@
     let now = open.shared.clock.now();
     open.sent_at = now;
     open.shared.machine().begin(&order.replica, open.query.adapter.as_ref(), now);
-    open.begin_reading(&order.replica, now);
+    open.begin_prefill(&order.replica, now);
     let (shared, deadline) = (open.shared.clone(), open.query.deadline);
-    let mut guard = AttemptGuard { open, replica: &order.replica, is_handed_over: false };
-    let exchanging = exchange(guard.open, order, last_event);
-    let exchanged = shared.wakes.wait_until(&shared.clock, deadline, exchanging).await;
-    let end = exchanged.unwrap_or(AttemptEnd::Failed(AttemptFailure::TimeOver));
-    guard.is_handed_over = true;
+    let mut guard = AttemptGuard { open, replica: &order.replica, is_finished: false };
+    let exchange = exchange(guard.open, order, last_event);
+    let finished = shared.wakes.wait_until(&shared.clock, deadline, exchange).await;
+    let end = finished.unwrap_or(AttemptEnd::Failed(AttemptFailure::TimeOver));
+    guard.is_finished = true;
     drop(guard);
     if !matches!(end, AttemptEnd::Stream(_)) {
-        open.end_reading(None);
+        open.end_prefill(None);
     }
-    if let AttemptEnd::Whole(_) = end {
+    if let AttemptEnd::Complete(_) = end {
         let now = open.shared.clock.now();
         let key = open.query.adapter.as_ref();
         open.shared.machine().end(&order.replica, key, AttemptFate::Answered, now);
@@ -149,68 +155,73 @@
     end
 }
 
+/// Sends the request and reads its response, for at most [`RESPONSE_TIMEOUT`] if the request may be
+/// retried after a lost attempt.
 async fn exchange(
     open: &OpenRequest,
     order: &AttemptOrder,
     last_event: Option<&str>,
 ) -> AttemptEnd {
-    let silence = match open.may_repeat_lost() {
-        true => SILENCE_LIMIT,
-        // Silence alone is no reason to end the only attempt.
+    let response_timeout = match open.may_retry_lost() {
+        true => RESPONSE_TIMEOUT,
+        // Silence alone is no reason to end an attempt that cannot be retried.
         false => Duration::MAX,
     };
-    match timeout(silence, exchange_once(open, order, last_event)).await {
+    match timeout(response_timeout, exchange_untimed(open, order, last_event)).await {
         Ok(end) => end,
-        Err(_) => AttemptEnd::Failed(AttemptFailure::Lost("no answer in time".to_string())),
+        Err(_) => AttemptEnd::Failed(AttemptFailure::Lost("no response in time".to_string())),
     }
 }
 
-async fn exchange_once(
+/// Sends the request, reads its response and classifies it.
+async fn exchange_untimed(
     open: &OpenRequest,
     order: &AttemptOrder,
     last_event: Option<&str>,
 ) -> AttemptEnd {
-    let (mut connection, head) = match send_head(open, order, last_event).await {
-        Ok(answered) => answered,
+    let (mut connection, head) = match send_request(open, order, last_event).await {
+        Ok(received) => received,
         Err(failure) => return AttemptEnd::Failed(failure),
     };
     let (parts, body) = head.into_parts();
-    if let Some(keep) = keep_time(&parts.headers) {
-        connection.keep_for(keep);
+    if let Some(keep_alive) = keep_alive_timeout(&parts.headers) {
+        connection.set_keep_alive(keep_alive);
     }
     open.shared.machine().hear(&order.replica, open.shared.clock.now());
     let meaning = heads::read_meaning(parts.status, &parts.headers, &open.terms.id);
-    note_said(open, order, meaning, parts.status, &parts.headers);
+    record_notice(open, order, meaning, parts.status, &parts.headers);
     match meaning {
         AnswerMeaning::Foreign => {
-            let reason = "the answer belongs to another request".to_string();
+            let reason = "response belongs to another request".to_string();
             AttemptEnd::Failed(AttemptFailure::Lost(reason))
         },
         AnswerMeaning::Unsure => {
-            finish_body(open, connection, body).await;
-            let reason = format!("status {} with no word that it did not run", parts.status);
+            drain_body(open, connection, body).await;
+            let reason =
+                format!("status {} without a statement that the request did not run", parts.status);
             AttemptEnd::Failed(AttemptFailure::Lost(reason))
         },
         AnswerMeaning::NotRun => {
-            finish_body(open, connection, body).await;
+            drain_body(open, connection, body).await;
             AttemptEnd::Failed(AttemptFailure::Refused(parts.status.as_u16()))
         },
         AnswerMeaning::Misdirected => {
-            let named = heads::own_instance(&parts.headers);
-            let is_other = named.is_some_and(|named| named != order.replica);
-            finish_body(open, connection, body).await;
+            let instance = heads::own_instance(&parts.headers);
+            let is_other = instance.is_some_and(|instance| instance != order.replica);
+            drain_body(open, connection, body).await;
             AttemptEnd::Failed(AttemptFailure::Misdirected(is_other))
         },
         AnswerMeaning::Ran if is_event_stream(open.query.route.kind, parts.status) => {
             let live = LiveStream { head: parts, body, connection, order: order.clone() };
             AttemptEnd::Stream(Box::new(live))
         },
-        AnswerMeaning::Ran => read_whole(open, connection, parts, body).await,
+        AnswerMeaning::Ran => read_complete(open, connection, parts, body).await,
     }
 }
 
-/// Notes what a replica says of itself with an answer, whatever the answer means for the request.
-fn note_said(
+/// Records what a replica reports about itself in a response, whatever the response means for the
+/// request.
+fn record_notice(
     open: &OpenRequest,
     order: &AttemptOrder,
     meaning: AnswerMeaning,
@@ -230,10 +241,11 @@
                 "replica" => &order.replica, "name" => name);
         }
     }
-    // Other answers may come without what a replica says with each of its own.
-    let is_good = meaning == AnswerMeaning::Ran && status.is_success();
-    if is_good && notice.limit.is_none() && fault.is_none() {
-        note_no_limit(open, order);
+    // Only a successful response shows that a limit was withdrawn: any other may lack the header
+    // although the limit still applies.
+    let is_success = meaning == AnswerMeaning::Ran && status.is_success();
+    if is_success && notice.limit.is_none() && fault.is_none() {
+        record_no_limit(open, order);
     }
     if notice.is_blank() {
         return;
@@ -247,7 +259,7 @@
     if has_asks {
         open.shared.wanted.notify_one();
     }
-    // A replica says the same with each answer; what it changes here is worth a line.
+    // A replica repeats its notice in each response, so only a change is logged.
     let Some(change) = change else {
         return;
     };
@@ -262,8 +274,8 @@
         "limit" => notice.limit.map(RateLimit::rate));
 }
 
-/// Notes that a good answer of a replica names no limit.
-fn note_no_limit(open: &OpenRequest, order: &AttemptOrder) {
+/// Records that a successful response of a replica announces no rate limit.
+fn record_no_limit(open: &OpenRequest, order: &AttemptOrder) {
     let now = open.shared.clock.now();
     if open.shared.machine().note_no_limit(order, now) {
         info!(open.shared.log, "replica names no limit any more"; "id" => &open.terms.id,
@@ -271,33 +283,34 @@
     }
 }
 
-/// Sends the request over a kept connection or a new one; gives the answer's head.
-async fn send_head(
+/// Sends the request over a pooled connection or a new one, and returns the connection and the
+/// response as soon as its head is received.
+async fn send_request(
     open: &OpenRequest,
     order: &AttemptOrder,
     last_event: Option<&str>,
 ) -> Result<(ReplicaConnection, Response<Incoming>), AttemptFailure> {
     let pool = &open.shared.pool;
-    let longest = match open.query.route.kind {
+    let max_idle = match open.query.route.kind {
         RouteKind::Safe => Duration::MAX,
-        RouteKind::Unsafe | RouteKind::Stream | RouteKind::ResumableStream => FRESH_ENOUGH,
+        RouteKind::Unsafe | RouteKind::Stream | RouteKind::ResumableStream => NON_SAFE_MAX_IDLE,
     };
     let mut stale = 0;
     loop {
-        let kept = match stale < STALE_LIMIT {
-            true => pool.take(&order.replica, longest),
+        let pooled = match stale < STALE_CONNECTION_LIMIT {
+            true => pool.take(&order.replica, max_idle),
             false => None,
         };
-        let mut connection = match kept {
+        let mut connection = match pooled {
             Some(connection) => connection,
             None => pool
                 .connect(&order.replica, order.address)
                 .await
                 .map_err(AttemptFailure::NotSent)?,
         };
-        let request = request_for(open, order, last_event)?;
-        // A connection may have taken long to open; what became known of the replica meanwhile goes before the
-        // choice that was made.
+        let request = build_request(open, order, last_event)?;
+        // Opening the connection may have taken long: what has been learnt about the replica since
+        // then overrides the choice.
         let now = open.shared.clock.now();
         if !open.shared.machine().may_send(order, open.query.received, now) {
             pool.put(connection);
@@ -305,8 +318,8 @@
         }
         match connection.sender.try_send_request(request).await {
             Ok(head) => return Ok((connection, head)),
-            // The request came back whole, so not a byte of it was sent.
-            Err(error) if error.message().is_some() && stale < STALE_LIMIT => stale += 1,
+            // hyper returned the request, so no byte of it was sent.
+            Err(error) if error.message().is_some() && stale < STALE_CONNECTION_LIMIT => stale += 1,
             Err(error) => {
                 let is_unsent = error.message().is_some();
                 let reason = error.into_error().to_string();
@@ -319,15 +332,16 @@
     }
 }
 
-fn request_for(
+/// Builds the request for one attempt.
+fn build_request(
     open: &OpenRequest,
     order: &AttemptOrder,
     last_event: Option<&str>,
 ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
-    let left = open.left(open.shared.clock.now());
+    let time_left = open.time_left(open.shared.clock.now());
     let terms = AttemptTerms {
         replica: &order.replica,
-        left: Some(left),
+        left: Some(time_left),
         priority: open.rank,
         last_event,
         workspace: open.workspace(),
@@ -343,47 +357,48 @@
     Ok(request)
 }
 
-/// Reads an answer that is of no use to the caller, so that its connection can be kept.
-async fn finish_body(open: &OpenRequest, connection: ReplicaConnection, body: Incoming) {
-    if Limited::new(body, ANSWER_LIMIT).collect().await.is_ok() {
+/// Reads a body that is not forwarded, so that its connection can be reused.
+async fn drain_body(open: &OpenRequest, connection: ReplicaConnection, body: Incoming) {
+    if Limited::new(body, RESPONSE_SIZE_LIMIT).collect().await.is_ok() {
         open.shared.pool.put(connection);
     }
 }
 
-async fn read_whole(
+/// Reads a response to its end and returns its connection to the pool.
+async fn read_complete(
     open: &OpenRequest,
     connection: ReplicaConnection,
     mut head: http::response::Parts,
     body: Incoming,
 ) -> AttemptEnd {
-    let body = match Limited::new(body, ANSWER_LIMIT).collect().await {
+    let body = match Limited::new(body, RESPONSE_SIZE_LIMIT).collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(error) => {
-            let reason = format!("the answer broke off: {error}");
+            let reason = format!("response interrupted: {error}");
             return AttemptEnd::Failed(AttemptFailure::Lost(reason));
         },
     };
     open.shared.pool.put(connection);
     let status = head.status;
     if status.is_success() && is_framed(&head.headers) {
-        open.note_good();
+        open.record_success();
     }
     head.headers = heads::end_to_end(&head.headers);
-    let answer = Response::from_parts(head, body);
+    let response = Response::from_parts(head, body);
     match status.is_server_error() && open.query.route.kind == RouteKind::Safe {
-        true => AttemptEnd::Failed(AttemptFailure::Errored(Box::new(answer))),
-        false => AttemptEnd::Whole(answer),
+        true => AttemptEnd::Failed(AttemptFailure::Errored(Box::new(response))),
+        false => AttemptEnd::Complete(response),
     }
 }
 
-/// Tells whether an answer says where it ends. One that ends with its connection looks whole also when its
-/// replica ended in the middle of it.
+/// Returns whether the headers of a response say where its body ends. A body that ends with its
+/// connection looks complete even if the replica exited in the middle of it.
 pub fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// For how long a replica keeps an unused connection, if it says so.
-fn keep_time(headers: &HeaderMap) -> Option<Duration> {
+/// Returns how long the replica keeps an idle connection open, if the response says so.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let parameters = text.split(',').map(str::trim);
     let seconds = parameters.filter_map(|parameter| parameter.strip_prefix("timeout="));
--- a/quillcove/src/relay/forward.rs
+++ b/quillcove/src/relay/forward.rs
@@ -1,4 +1,4 @@
-//! The way of one request: admission, attempts, and its one final answer.
+//! Handles one request of a caller: admits it, makes its attempts, and produces the one response.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -25,53 +25,53 @@
 use super::shared::RelayShared;
 use super::stream;
 
-/// Refusals of replicas after which a request is refused to its caller.
+/// Number of rejections by replicas that are retried before the request is rejected.
 const REFUSAL_LIMIT: u32 = 2;
 
-/// Connections that may fail before a request is refused to its caller.
+/// Number of unsent attempts at which the request is rejected.
 const UNSENT_LIMIT: u32 = 3;
 
-/// When a caller may come back after a replica refused its request: queues of the upstreams turn
-/// over in a fraction of this.
-const REFUSED_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after which a caller may retry when replicas rejected its request. The queues of the
+/// upstreams turn over in a fraction of this time.
+const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Answers one request of a caller.
-pub async fn answer(
+/// Handles one request of a caller and returns its response.
+pub async fn handle(
     shared: Arc<RelayShared>,
     request: Request<Incoming>,
     caller: CallerDigest,
 ) -> Response<ResponseBody> {
     let received = shared.clock.now();
     let id = request.headers().get(heads::id_header()).cloned();
-    let answer = match prepare(&shared, request, caller, received).await {
-        Ok(open) => run(open).await,
+    let response = match prepare(&shared, request, caller, received).await {
+        Ok(open) => run_attempts(open).await,
         Err(Rejection::Refused(refusal)) => {
             shared.metrics.refused(refusal.reason, WorkClass::Normal);
-            info!(shared.log, "request refused"; "id" => logged(&id),
+            info!(shared.log, "request refused"; "id" => log_id(&id),
                 "reason" => refusal.reason.label(),
                 "come_back_ms" => refusal.retry_after.map(|pause| pause.as_millis() as u64));
             refusal_response(&refusal)
         },
         Err(Rejection::Denied(denial)) => {
-            info!(shared.log, "request denied"; "id" => logged(&id),
+            info!(shared.log, "request denied"; "id" => log_id(&id),
                 "status" => denial.status.as_u16(), "reason" => denial.reason);
             empty_response(denial.status, None)
         },
     };
-    close_when_stopping(&shared, with_request_id(answer, id))
+    close_when_stopping(&shared, with_request_id(response, id))
 }
 
-/// A request's id as the other lines of the log give it.
-fn logged(id: &Option<http::HeaderValue>) -> Option<String> {
+/// Returns a request's id in the form that the other log lines use.
+fn log_id(id: &Option<http::HeaderValue>) -> Option<String> {
     id.as_ref().map(|id| String::from_utf8_lossy(id.as_bytes()).into_owned())
 }
 
-/// Tries until there is an answer or nothing more may be tried.
-async fn run(mut open: OpenRequest) -> Response<ResponseBody> {
+/// Makes attempts until there is a response or no further attempt is allowed.
+async fn run_attempts(mut open: OpenRequest) -> Response<ResponseBody> {
     loop {
-        let order = match next_step(&mut open).await {
+        let order = match next_attempt(&mut open).await {
             Ok(order) => order,
-            Err(refusal) => return give_up(open, refusal),
+            Err(refusal) => return reject(open, refusal),
         };
         let is_first = open.attempts == 0;
         open.attempts += 1;
@@ -79,25 +79,25 @@
         open.shared.metrics.attempted(is_first);
         let end = attempt::send(&mut open, &order, None).await;
         match end {
-            AttemptEnd::Whole(answer) => return pass_whole(open, answer),
-            AttemptEnd::Stream(live) => return stream::pass(open, live),
+            AttemptEnd::Complete(response) => return finish_complete(open, response),
+            AttemptEnd::Stream(live) => return stream::forward(open, live),
             AttemptEnd::Failed(failure) => {
-                if let Some(answer) = after_failure(&mut open, &order, failure) {
-                    return finish_failed(open, answer);
+                if let Some(response) = handle_failure(&mut open, &order, failure) {
+                    return finish_failed(open, response);
                 }
             },
         }
     }
 }
 
-/// Waits until the request can be sent or is refused.
-async fn next_step(open: &mut OpenRequest) -> Result<AttemptOrder, WorkRefusal> {
+/// Waits until a replica is chosen for the next attempt or the request is rejected.
+async fn next_attempt(open: &mut OpenRequest) -> Result<AttemptOrder, WorkRefusal> {
     let shared = open.shared.clone();
     let began = shared.clock.now();
-    let seat = open.query.adapter.as_ref().map(|key| shared.waiters.join(key));
+    let waiter = open.query.adapter.as_ref().map(|key| shared.waiters.join(key));
     let result = loop {
-        // What comes from here on is not missed, although the choice is made first.
-        let news = seat.as_ref().map(|seat| seat.news.notified());
+        // Registered before the choice, so that a notification during the choice is not lost.
+        let notified = waiter.as_ref().map(|waiter| waiter.news.notified());
         let now = shared.clock.now();
         match choose(open, now) {
             RelayChoice::Send(order) => {
@@ -106,14 +106,14 @@
             },
             RelayChoice::Refuse(refusal) => break Err(refusal),
             RelayChoice::Wait(until) => {
-                let news = async {
-                    match news {
-                        Some(news) => news.await,
+                let notified = async {
+                    match notified {
+                        Some(notified) => notified.await,
                         None => pending().await,
                     }
                 };
-                // Either the news or the time is a reason to look again.
-                let _ = shared.wakes.wait_until(&shared.clock, until, news).await;
+                // A notification and the end of the wait are both reasons to choose again.
+                let _ = shared.wakes.wait_until(&shared.clock, until, notified).await;
             },
         }
     };
@@ -121,7 +121,8 @@
     result
 }
 
-/// One look at what can be done for a request; sends the asks for adapters that it led to.
+/// Asks the machine once what to do with a request, and triggers the sending of the load requests
+/// that result.
 fn choose(open: &mut OpenRequest, now: MonoTime) -> RelayChoice {
     let mut machine = open.shared.machine();
     let choice = machine.choose(&open.query, &open.tried, now);
@@ -133,8 +134,8 @@
     choice
 }
 
-/// Ends a request for which nothing more can be sent.
-fn give_up(open: OpenRequest, refusal: WorkRefusal) -> Response<ResponseBody> {
+/// Rejects a request that gets no further attempt.
+fn reject(open: OpenRequest, refusal: WorkRefusal) -> Response<ResponseBody> {
     if refusal.reason == RefusalReason::EndsUpstreams {
         ends::log_cause(&open);
     }
@@ -143,41 +144,43 @@
         _ => RunVerdict::MayHaveRun,
     };
     let refusal = WorkRefusal { verdict, ..refusal };
-    finish_refused(open, &refusal)
+    finish_rejected(open, &refusal)
 }
 
-/// Answers with a refusal of the relay's own.
-fn finish_refused(mut open: OpenRequest, refusal: &WorkRefusal) -> Response<ResponseBody> {
+/// Ends a request with a rejection by the relay itself.
+fn finish_rejected(mut open: OpenRequest, refusal: &WorkRefusal) -> Response<ResponseBody> {
     open.shared.metrics.refused(refusal.reason, open.class());
-    open.come_back = refusal.retry_after;
-    let answer = refusal_response(refusal);
-    open.finish(refusal.verdict, answer.status().as_u16(), refusal.reason.label());
-    answer
+    open.retry_after = refusal.retry_after;
+    let response = refusal_response(refusal);
+    open.finish(refusal.verdict, response.status().as_u16(), refusal.reason.label());
+    response
 }
 
-fn pass_whole(mut open: OpenRequest, answer: Response<Bytes>) -> Response<ResponseBody> {
-    let status = answer.status().as_u16();
+/// Ends a request with the complete response of a replica.
+fn finish_complete(mut open: OpenRequest, response: Response<Bytes>) -> Response<ResponseBody> {
+    let status = response.status().as_u16();
     open.finish(RunVerdict::Ran, status, "answered");
     let now = open.shared.clock.now();
     let took = now.saturating_sub(open.query.received);
     open.shared.metrics.answered(open.class(), took);
-    answer.map(|body| Full::new(body).map_err(|never| match never {}).boxed_unsync())
+    response.map(|body| Full::new(body).map_err(|never| match never {}).boxed_unsync())
 }
 
-/// What a failed request is answered with.
-enum FailedAnswer {
-    /// The replica's own answer.
-    Passed(Response<Bytes>),
-    /// The relay's own refusal.
+/// Response to a request whose last attempt failed.
+enum FailureResponse {
+    /// The replica's own response.
+    Forwarded(Response<Bytes>),
+    /// A rejection by the relay itself.
     Refused(WorkRefusal),
 }
 
-/// Decides whether a request is tried again; gives its final answer when it is not.
-fn after_failure(
+/// Records a failed attempt. Returns `None` if the request is to be retried, and its final response
+/// otherwise.
+fn handle_failure(
     open: &mut OpenRequest,
     order: &AttemptOrder,
     failure: AttemptFailure,
-) -> Option<FailedAnswer> {
+) -> Option<FailureResponse> {
     let shared = open.shared.clone();
     let now = shared.clock.now();
     let key = open.query.adapter.as_ref();
@@ -189,15 +192,15 @@
         ends::note_broken(open, order);
     }
     let kind = open.query.route.kind;
-    let is_repeated = match &failure {
+    let is_retried = match &failure {
         AttemptFailure::NotSent(_) | AttemptFailure::Withheld => {
             open.unsent += 1;
             open.unsent < UNSENT_LIMIT
         },
-        AttemptFailure::Refused(_) => may_send_again(open),
+        AttemptFailure::Refused(_) => may_retry_rejected(open),
         AttemptFailure::Misdirected(is_other) => {
-            note_misdirected(open, order, *is_other);
-            may_send_again(open)
+            record_misdirected(open, order, *is_other);
+            may_retry_rejected(open)
         },
         AttemptFailure::Lost(_) | AttemptFailure::Errored(_) => {
             open.runs += 1;
@@ -210,36 +213,37 @@
             false
         },
     };
-    match is_repeated {
+    match is_retried {
         true => None,
-        false => Some(final_failure(open, failure)),
+        false => Some(failure_response(open, failure)),
     }
 }
 
-/// A request that a replica refused may go to another one. The route's limit counts replicas that
-/// may have run it; refusals have a limit of their own.
-fn may_send_again(open: &mut OpenRequest) -> bool {
+/// Counts a rejection by a replica and returns whether another replica may be tried. Rejections
+/// have a limit of their own, as the route's limit counts only attempts that may have run.
+fn may_retry_rejected(open: &mut OpenRequest) -> bool {
     open.refusals += 1;
     open.refusals <= REFUSAL_LIMIT && open.shared.machine().take_repeat(&open.query.service)
 }
 
-/// A replica that is another one is forgotten; one that lacks the adapter is not sent requests for
-/// it until it reports it.
-fn note_misdirected(open: &mut OpenRequest, order: &AttemptOrder, is_other: bool) {
+/// Records a misdirected request. If another replica runs at the address, the expected one is
+/// removed. A replica that lacks the adapter gets no requests for it until it reports the adapter.
+fn record_misdirected(open: &mut OpenRequest, order: &AttemptOrder, is_other: bool) {
     let shared = open.shared.clone();
     let mut machine = shared.machine();
     match (&open.query.adapter, is_other) {
         (_, true) => machine.forget(&order.replica),
         (Some(key), false) => {
             machine.lacks(&order.replica, key);
-            // Once it holds the adapter again, it may well be the only one.
+            // When it has loaded the adapter again, it may be the only replica with it.
             open.tried.retain(|tried| *tried != order.replica);
         },
         (None, false) => {},
     }
 }
 
-fn final_failure(open: &OpenRequest, failure: AttemptFailure) -> FailedAnswer {
+/// Builds the final response to a request whose last attempt failed.
+fn failure_response(open: &OpenRequest, failure: AttemptFailure) -> FailureResponse {
     let verdict = match open.runs {
         0 => RunVerdict::NotRun,
         _ => RunVerdict::MayHaveRun,
@@ -249,22 +253,24 @@
             RunVerdict::NotRun => retry_after,
             RunVerdict::MayHaveRun | RunVerdict::Ran => None,
         };
-        FailedAnswer::Refused(WorkRefusal { reason, verdict, retry_after })
+        FailureResponse::Refused(WorkRefusal { reason, verdict, retry_after })
     };
     match failure {
-        AttemptFailure::Errored(answer) => FailedAnswer::Passed(*answer),
-        AttemptFailure::Refused(_) => refusal(RefusalReason::Overloaded, Some(REFUSED_PAUSE)),
+        AttemptFailure::Errored(response) => FailureResponse::Forwarded(*response),
+        AttemptFailure::Refused(_) => refusal(RefusalReason::Overloaded, Some(REFUSED_RETRY_AFTER)),
         AttemptFailure::Misdirected(_) => refusal(RefusalReason::WrongIncarnation, Some(SOON)),
-        AttemptFailure::NotSent(_) => refusal(RefusalReason::UpstreamDown, Some(REFUSED_PAUSE)),
-        AttemptFailure::Withheld => refusal(RefusalReason::NoUpstream, Some(REFUSED_PAUSE)),
+        AttemptFailure::NotSent(_) => {
+            refusal(RefusalReason::UpstreamDown, Some(REFUSED_RETRY_AFTER))
+        },
+        AttemptFailure::Withheld => refusal(RefusalReason::NoUpstream, Some(REFUSED_RETRY_AFTER)),
         AttemptFailure::Lost(_) => refusal(RefusalReason::UpstreamBroke, None),
         AttemptFailure::TimeOver => refusal(RefusalReason::DeadlinePassed, None),
     }
 }
 
-fn finish_failed(open: OpenRequest, answer: FailedAnswer) -> Response<ResponseBody> {
-    match answer {
-        FailedAnswer::Refused(refusal) => finish_refused(open, &refusal),
-        FailedAnswer::Passed(answer) => pass_whole(open, answer),
+fn finish_failed(open: OpenRequest, response: FailureResponse) -> Response<ResponseBody> {
+    match response {
+        FailureResponse::Refused(refusal) => finish_rejected(open, &refusal),
+        FailureResponse::Forwarded(response) => finish_complete(open, response),
     }
 }
--- a/quillcove/src/relay/pool.rs
+++ b/quillcove/src/relay/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to replicas. One carries one request at a time; it is kept for the next one only
-//! after a whole answer.
+//! Pool of connections to replicas. A connection carries one request at a time and is reused only
+//! after a complete response.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,16 +18,16 @@
 
 use crate::clock::MonoClock;
 
-/// Time for which an unused connection is kept when the replica does not say for how long.
-const KEEP_TIME: Duration = Duration::from_secs(2);
+/// Time for which an idle connection is pooled if the replica announces no keep-alive time.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
 
-/// Share of the time that a replica names for which its connections are kept.
-const KEEP_SHARE: f64 = 0.6;
+/// Fraction of the keep-alive time announced by a replica for which its connections are pooled.
+const KEEP_ALIVE_SHARE: f64 = 0.6;
 
-/// Unused connections kept for one replica.
+/// Maximum number of idle connections pooled for one replica.
 const IDLE_LIMIT: usize = 32;
 
-/// The task that drives a connection; it ends, and the connection closes, when this is dropped.
+/// The task that drives a connection. Dropping it aborts the task, which closes the connection.
 struct ConnectionDriver(AbortHandle);
 
 impl Drop for ConnectionDriver {
@@ -36,34 +36,34 @@
     }
 }
 
-/// A connection in use. Dropping it closes it, which also ends the replica's work.
+/// A connection in use. Dropping it closes it, which also makes the replica stop its work.
 pub struct ReplicaConnection {
     pub sender: SendRequest<Full<Bytes>>,
     _driver: ConnectionDriver,
     replica: ReplicaId,
-    keep: Duration,
+    keep_alive: Duration,
 }
 
 impl ReplicaConnection {
-    /// Takes over for how long the replica keeps unused connections.
-    pub fn keep_for(&mut self, named: Duration) {
-        self.keep = named.mul_f64(KEEP_SHARE);
+    /// Sets the keep-alive time that the replica announced.
+    pub fn set_keep_alive(&mut self, announced: Duration) {
+        self.keep_alive = announced.mul_f64(KEEP_ALIVE_SHARE);
     }
 }
 
 struct IdleConnection {
     connection: ReplicaConnection,
-    since: MonoTime,
+    idle_since: MonoTime,
 }
 
 impl IdleConnection {
-    fn is_usable(&self, longest: Duration, now: MonoTime) -> bool {
-        let idle = now.saturating_sub(self.since);
-        idle < self.connection.keep.min(longest) && self.connection.sender.is_ready()
+    fn is_usable(&self, max_idle: Duration, now: MonoTime) -> bool {
+        let idle = now.saturating_sub(self.idle_since);
+        idle < self.connection.keep_alive.min(max_idle) && self.connection.sender.is_ready()
     }
 }
 
-/// Unused connections by replica.
+/// Idle connections by replica.
 pub struct ReplicaPool {
     idle: Mutex<HashMap<ReplicaId, Vec<IdleConnection>>>,
     connect_timeout: Mutex<Duration>,
@@ -76,7 +76,7 @@
         Self { idle: Mutex::new(HashMap::new()), connect_timeout, clock }
     }
 
-    /// Takes over the longest time for a connection.
+    /// Sets the timeout for opening a connection.
     pub fn set_connect_timeout(&self, connect_timeout: Duration) {
         *self.connect_timeout.lock().unwrap_or_else(PoisonError::into_inner) = connect_timeout;
     }
@@ -85,20 +85,21 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The kept connection that was used last, unless that is longer ago than this.
-    pub fn take(&self, replica: &str, longest: Duration) -> Option<ReplicaConnection> {
+    /// Takes the most recently used idle connection to a replica, if it was idle for less than
+    /// `max_idle`.
+    pub fn take(&self, replica: &str, max_idle: Duration) -> Option<ReplicaConnection> {
         let now = self.clock.now();
         let mut idle = self.idle();
-        let kept = idle.get_mut(replica)?;
-        while let Some(candidate) = kept.pop() {
-            if candidate.is_usable(longest, now) {
+        let connections = idle.get_mut(replica)?;
+        while let Some(candidate) = connections.pop() {
+            if candidate.is_usable(max_idle, now) {
                 return Some(candidate.connection);
             }
         }
         None
     }
 
-    /// A new connection.
+    /// Opens a connection to a replica.
     pub async fn connect(
         &self,
         replica: &str,
@@ -108,38 +109,39 @@
         let limit = *self.connect_timeout.lock().unwrap_or_else(PoisonError::into_inner);
         let stream = timeout(limit, connect).await;
         let stream = stream
-            .map_err(|_| "no connection in time".to_string())?
-            .map_err(|error| format!("no connection: {error}"))?;
+            .map_err(|_| "connect timed out".to_string())?
+            .map_err(|error| format!("connect failed: {error}"))?;
         stream.set_nodelay(true).map_err(|error| error.to_string())?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, driver) = handshake.map_err(|error| error.to_string())?;
         let driver = tokio::spawn(async move {
-            // How it ended is seen by whoever waits at the sender.
+            // An error also reaches the request that uses the sender.
             let _ = driver.await;
         });
         Ok(ReplicaConnection {
             sender,
             _driver: ConnectionDriver(driver.abort_handle()),
             replica: replica.to_string(),
-            keep: KEEP_TIME,
+            keep_alive: DEFAULT_KEEP_ALIVE,
         })
     }
 
-    /// Keeps a connection after a whole answer.
+    /// Returns a connection to the pool after a complete response.
     pub fn put(&self, connection: ReplicaConnection) {
         if connection.sender.is_closed() {
             return;
         }
         let now = self.clock.now();
         let mut idle = self.idle();
-        let kept = idle.entry(connection.replica.clone()).or_default();
-        kept.retain(|other| now.saturating_sub(other.since) < other.connection.keep);
-        if kept.len() < IDLE_LIMIT {
-            kept.push(IdleConnection { connection, since: now });
+        let connections = idle.entry(connection.replica.clone()).or_default();
+        connections
+            .retain(|other| now.saturating_sub(other.idle_since) < other.connection.keep_alive);
+        if connections.len() < IDLE_LIMIT {
+            connections.push(IdleConnection { connection, idle_since: now });
         }
     }
 
-    /// Closes the unused connections to a replica that is gone.
+    /// Closes the idle connections to a replica that no longer exists.
     pub fn forget(&self, replica: &str) {
         self.idle().remove(replica);
     }
--- a/quillcove/src/relay/request.rs
+++ b/quillcove/src/relay/request.rs
@@ -1,4 +1,5 @@
-//! A caller's request: reading it, admitting it, and its line in the log when it ends.
+//! Reads and admits a caller's request, holds the state that its attempts share, and writes its log
+//! line when it ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +28,7 @@
 
 use super::shared::RelayShared;
 
-/// A request in flight, with what its attempts share.
+/// An admitted request, with the state that its attempts share.
 pub struct OpenRequest {
     pub shared: Arc<RelayShared>,
     pub query: RelayQuery,
@@ -36,42 +37,43 @@
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub sheet: Arc<RouteSheet>,
+    pub configuration: Arc<RouteSheet>,
     pub tried: Vec<ReplicaId>,
     pub attempts: u32,
-    /// Attempts that may have run, in part at least.
+    /// Attempts that may have run, at least in part.
     pub runs: u32,
-    /// Attempts that their replica refused.
+    /// Attempts that replicas rejected.
     pub refusals: u32,
-    /// Attempts that never left this process.
+    /// Attempts of which no byte was sent.
     pub unsent: u32,
     /// When the last attempt was sent.
     pub sent_at: MonoTime,
+    /// Total time spent waiting for a replica or an adapter.
     pub waited: Duration,
-    /// Time from the request to the first event of its stream.
+    /// Time from receiving the request to the first event of its stream.
     pub first_event: Option<Duration>,
-    /// Longest time between two events.
+    /// Longest time between two consecutive events.
     pub longest_pause: Duration,
-    /// When a refused caller was told to come back.
-    pub come_back: Option<Duration>,
-    /// The attempt of now, until its first event has come.
-    reading: Option<ReadingMark>,
-    /// Rank of the last attempt at its engine.
+    /// Delay after which a rejected caller may retry, as sent in the response.
+    pub retry_after: Option<Duration>,
+    /// Prefill of the current attempt, until the first event is received.
+    prefill: Option<PendingPrefill>,
+    /// Priority rank of the last attempt at its engine.
     pub rank: Option<u8>,
-    /// Time in which the last attempt was expected to bring its first event.
-    pub expected: Option<Duration>,
-    charge: HeldCharge,
+    /// Estimated time to the first event of the last attempt.
+    pub expected_first_event: Option<Duration>,
+    charge: ChargeGuard,
     finished: Option<FinishedRequest>,
 }
 
-/// An attempt whose prompt is being read.
+/// An attempt that waits for its prefill to end.
 #[derive(Clone, Debug)]
-struct ReadingMark {
+struct PendingPrefill {
     replica: ReplicaId,
     number: ReadingNumber,
 }
 
-/// How a request ended, for its line in the log.
+/// Outcome of a request, for its log line.
 #[derive(Clone, Debug)]
 struct FinishedRequest {
     verdict: RunVerdict,
@@ -80,28 +82,29 @@
 }
 
 impl OpenRequest {
-    /// Notes how the request ended; the line is written when it is dropped.
+    /// Records the outcome; the log line is written on drop.
     pub fn finish(&mut self, verdict: RunVerdict, status: u16, reason: impl Into<String>) {
         self.finished = Some(FinishedRequest { verdict, status, reason: reason.into() });
     }
 
-    /// Notes that the prompt is sent to a replica.
-    pub fn begin_reading(&mut self, replica: &str, now: MonoTime) {
-        self.end_reading(None);
+    /// Records that the prompt is sent to a replica, and stores the attempt's rank and estimate.
+    pub fn begin_prefill(&mut self, replica: &str, now: MonoTime) {
+        self.end_prefill(None);
         if self.query.model.is_none() {
             return;
         }
         let start = self.shared.machine().begin_reading(replica, &self.query, now);
-        let mark = |number| ReadingMark { replica: replica.to_string(), number };
-        self.reading = start.number.map(mark);
+        let pending = |number| PendingPrefill { replica: replica.to_string(), number };
+        self.prefill = start.number.map(pending);
         self.rank = Some(start.rank);
-        self.expected = start.expected;
+        self.expected_first_event = start.expected;
     }
 
-    /// Notes that the first event of the attempt came at this time, or that it ended without one.
-    pub fn end_reading(&mut self, read_at: Option<MonoTime>) {
-        if let Some(mark) = self.reading.take() {
-            self.shared.machine().end_reading(&mark.replica, mark.number, read_at);
+    /// Records that the attempt's first event was received at `read_at`, or that the attempt ended
+    /// without one (`None`).
+    pub fn end_prefill(&mut self, read_at: Option<MonoTime>) {
+        if let Some(pending) = self.prefill.take() {
+            self.shared.machine().end_reading(&pending.replica, pending.number, read_at);
         }
     }
 
@@ -109,34 +112,36 @@
         self.query.route.class()
     }
 
-    /// Tells whether a plain call could be sent again if its attempt of now were lost.
-    pub fn may_repeat_lost(&self) -> bool {
+    /// Returns whether the request is on a safe route and may be retried if the current attempt is
+    /// lost.
+    pub fn may_retry_lost(&self) -> bool {
         self.query.route.kind == RouteKind::Safe
             && self.runs + 1 < self.query.route.attempt_limit
             && self.shared.machine().has_repeat(&self.query.service)
     }
 
-    /// Name of the request's workspace.
+    /// Returns the name of the request's workspace, if it has one.
     pub fn workspace(&self) -> Option<&str> {
         self.query.grant.as_ref().map(|grant| grant.workspace.name.as_str())
     }
 
-    /// Notes that a replica ran the request to a good end.
-    pub fn note_good(&self) {
+    /// Records that a replica completed the request, as evidence that it is not a fatal request.
+    pub fn record_success(&self) {
         let now = self.shared.clock.now();
         if let Some(identity) = self.query.identity {
             self.shared.machine().crashes_mut().note_good(identity, now);
         }
     }
 
-    pub fn left(&self, now: MonoTime) -> Duration {
+    /// Returns the time left until the deadline.
+    pub fn time_left(&self, now: MonoTime) -> Duration {
         self.query.deadline.saturating_sub(now)
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.end_reading(None);
+        self.end_prefill(None);
         let now = self.shared.clock.now();
         let took = now.saturating_sub(self.query.received);
         let end = self.finished.take().unwrap_or(FinishedRequest {
@@ -150,30 +155,30 @@
         let mut machine = self.shared.machine();
         machine.finish();
         if end.verdict == RunVerdict::NotRun {
-            self.charge.give_back(&mut machine);
+            self.charge.refund(&mut machine);
         }
         if machine.has_asks() {
             self.shared.wanted.notify_one();
         }
         drop(machine);
-        self.charge.settle();
+        self.charge.commit();
         self.shared.metrics.finished(end.verdict, self.class(), took);
         info!(self.shared.log, "request"; "id" => &self.terms.id,
-            "route" => &self.query.route.name, "sheet" => self.sheet.version,
+            "route" => &self.query.route.name, "sheet" => self.configuration.version,
             "service" => &self.query.service, "workspace" => self.workspace(),
             "adapter" => self.query.adapter.as_ref().map(|key| key.adapter.as_str()),
             "verdict" => end.verdict.label(), "status" => end.status, "reason" => end.reason,
             "age_ms" => self.query.age.as_millis() as u64, "attempts" => self.attempts, "replicas" => self.tried.join(","),
-            "come_back_ms" => self.come_back.map(|pause| pause.as_millis() as u64),
+            "come_back_ms" => self.retry_after.map(|pause| pause.as_millis() as u64),
             "waited_ms" => self.waited.as_millis() as u64,
             "prompt_tokens" => self.query.prompt_tokens, "rank" => self.rank,
-            "expected_ms" => self.expected.map(|time| time.as_millis() as u64),
+            "expected_ms" => self.expected_first_event.map(|time| time.as_millis() as u64),
             "first_event_ms" => self.first_event.map(|first| first.as_millis() as u64),
             "longest_pause_ms" => self.longest_pause.as_millis() as u64, "took_ms" => took.as_millis() as u64);
     }
 }
 
-/// Why a request is not taken at all.
+/// A response status for a request that cannot be processed, and the reason for the log.
 pub struct Denial {
     pub status: StatusCode,
     pub reason: String,
@@ -181,7 +186,9 @@
 
 /// Why a request is not admitted.
 pub enum Rejection {
+    /// It may be admitted later or elsewhere.
     Refused(WorkRefusal),
+    /// It is malformed, or no route matches it.
     Denied(Denial),
 }
 
@@ -197,36 +204,37 @@
     }
 }
 
-/// What a request was charged with. It is given back when the request ends before it is open.
-pub struct HeldCharge {
+/// What a request was charged. Refunds the charge on drop unless [`ChargeGuard::commit`] was called:
+/// a request that fails before it is admitted costs nothing.
+pub struct ChargeGuard {
     shared: Arc<RelayShared>,
     charge: Option<UseCharge>,
 }
 
-impl HeldCharge {
-    fn give_back(&mut self, machine: &mut RelayMachine) {
+impl ChargeGuard {
+    fn refund(&mut self, machine: &mut RelayMachine) {
         if let Some(charge) = self.charge.take() {
             machine.give_back(&charge);
         }
     }
 
-    /// Nothing is given back any more.
-    fn settle(&mut self) {
+    /// Makes the charge final.
+    fn commit(&mut self) {
         self.charge = None;
     }
 }
 
-impl Drop for HeldCharge {
+impl Drop for ChargeGuard {
     fn drop(&mut self) {
         if self.charge.is_some() {
             let shared = self.shared.clone();
-            self.give_back(&mut shared.machine());
+            self.refund(&mut shared.machine());
         }
     }
 }
 
-/// Lets a request in by its key, before its body is taken.
-fn let_in(
+/// Authorizes a request by its key and charges its use, before the body is read.
+fn authorize(
     shared: &Arc<RelayShared>,
     route: &RouteRecord,
     terms: &CallerTerms,
@@ -237,7 +245,7 @@
     let granted = shared.machine().let_in(route, terms.key, claim, now);
     granted.map_err(|refusal| {
         let machine = shared.machine();
-        let access = machine.sheet().and_then(|sheet| sheet.access());
+        let access = machine.sheet().and_then(|configuration| configuration.access());
         let holder = access.and_then(|access| access.find(&terms.key?));
         let account = holder.and_then(|holder| machine.ledger().account_of(&holder.name));
         let proved_at = machine.knowledge().proved_at();
@@ -245,12 +253,13 @@
         info!(shared.log, "not let in"; "id" => &terms.id, "route" => &route.name,
             "has_key" => terms.key.is_some(), "workspace" => holder.map(|holder| &holder.name),
             "left" => account.map(LimitAccount::level), "tokens" => tokens,
-            "knowledge_age_ms" => knowledge_age, "sheet" => machine.sheet().map(|sheet| sheet.version));
+            "knowledge_age_ms" => knowledge_age,
+            "sheet" => machine.sheet().map(|configuration| configuration.version));
         Rejection::Refused(refusal.into())
     })
 }
 
-/// Reads a request whole and admits it.
+/// Reads a request with its body and admits it.
 pub async fn prepare(
     shared: &Arc<RelayShared>,
     request: Request<Incoming>,
@@ -258,11 +267,11 @@
     received: MonoTime,
 ) -> Result<OpenRequest, Rejection> {
     let (parts, body) = request.into_parts();
-    let missing = || WorkRefusal::not_run(RefusalReason::BundleMissing, Some(SOON));
-    let sheet = shared.machine().sheet().cloned().ok_or_else(missing)?;
+    let no_configuration = || WorkRefusal::not_run(RefusalReason::BundleMissing, Some(SOON));
+    let configuration = shared.machine().sheet().cloned().ok_or_else(no_configuration)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or_default();
-    let route = sheet.find_route(host, parts.uri.path()).cloned();
+    let route = configuration.find_route(host, parts.uri.path()).cloned();
     let no_route = || Rejection::denied(StatusCode::NOT_FOUND, "no route");
     let route = route.ok_or_else(no_route)?;
     let terms = heads::read_terms(&parts.headers)
@@ -270,21 +279,21 @@
     if let Some(fault) = &terms.fault {
         info!(shared.log, "size of a prompt not understood"; "id" => &terms.id, "fault" => %fault);
     }
-    let grant = let_in(shared, &route, &terms, received)?;
+    let grant = authorize(shared, &route, &terms, received)?;
     let charge = grant.as_ref().and_then(|grant| grant.charge.clone());
-    let charge = HeldCharge { shared: shared.clone(), charge };
-    let said = terms.patience.unwrap_or(route.timeout);
-    let age = shared.machine().age_of(&route.name, said);
-    let deadline = received + said.min(route.timeout);
-    let body = read_body(&sheet, body).await?;
-    let parts_of = RequestParts {
+    let charge = ChargeGuard { shared: shared.clone(), charge };
+    let requested_timeout = terms.patience.unwrap_or(route.timeout);
+    let age = shared.machine().age_of(&route.name, requested_timeout);
+    let deadline = received + requested_timeout.min(route.timeout);
+    let body = read_body(&configuration, body).await?;
+    let digested = RequestParts {
         method: parts.method.as_str(),
         host,
         path: parts.uri.path_and_query().map_or("/", |path| path.as_str()),
         key: grant.as_ref().map(|grant| grant.key),
         body: &body,
     };
-    let identity = RequestIdentity { digest: parts_of.digest(), caller };
+    let identity = RequestIdentity { digest: digested.digest(), caller };
     let service = shared.machine().draw_service(&route);
     let no_service = || WorkRefusal::not_run(RefusalReason::NoUpstream, Some(SOON));
     let service = service.ok_or_else(no_service)?;
@@ -310,7 +319,7 @@
         uri: parts.uri,
         headers: parts.headers,
         body,
-        sheet,
+        configuration,
         tried: Vec::new(),
         attempts: 0,
         runs: 0,
@@ -320,23 +329,26 @@
         waited: Duration::ZERO,
         first_event: None,
         longest_pause: Duration::ZERO,
-        come_back: None,
-        reading: None,
+        retry_after: None,
+        prefill: None,
         rank: None,
-        expected: None,
+        expected_first_event: None,
         charge,
         finished: None,
     })
 }
 
-async fn read_body(sheet: &RouteSheet, body: Incoming) -> Result<Bytes, Rejection> {
-    let limited = Limited::new(body, sheet.limits.body_bytes);
-    match timeout(sheet.limits.read_timeout, limited.collect()).await {
+/// Reads the body within the size limit and the read timeout of the configuration.
+async fn read_body(configuration: &RouteSheet, body: Incoming) -> Result<Bytes, Rejection> {
+    let limited = Limited::new(body, configuration.limits.body_bytes);
+    match timeout(configuration.limits.read_timeout, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             Err(Rejection::denied(StatusCode::PAYLOAD_TOO_LARGE, error))
         },
         Ok(Err(error)) => Err(Rejection::denied(StatusCode::BAD_REQUEST, error)),
-        Err(_) => Err(Rejection::denied(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")),
+        Err(_) => {
+            Err(Rejection::denied(StatusCode::REQUEST_TIMEOUT, "request body not received in time"))
+        },
     }
 }
--- a/quillcove/src/relay/serve.rs
+++ b/quillcove/src/relay/serve.rs
@@ -104,7 +104,7 @@
     let limits = limits_of(&shared);
     let service = service_fn(move |request: hyper::Request<Incoming>| {
         let shared = shared.clone();
-        async move { Ok::<_, Infallible>(forward::answer(shared, request, caller).await) }
+        async move { Ok::<_, Infallible>(forward::handle(shared, request, caller).await) }
     });
     let mut builder = http1::Builder::new();
     builder
--- a/quillcove/src/relay/stream.rs
+++ b/quillcove/src/relay/stream.rs
@@ -1,5 +1,5 @@
-//! Streams of events: each whole event is passed on as it comes, and a stream that may be resumed
-//! goes on at another replica when its own breaks.
+//! Forwards streams of events: each complete event is sent to the caller at once, and a resumable
+//! stream continues at another replica when it is interrupted.
 
 use bytes::Bytes;
 use http::Response;
@@ -19,77 +19,78 @@
 use super::events::{self, EventSplitter};
 use super::request::OpenRequest;
 
-/// A stream on its way to the caller.
-struct EventRelay {
+/// A stream that is being forwarded to the caller.
+struct EventForwarder {
     open: OpenRequest,
     live: Option<Box<LiveStream>>,
     splitter: EventSplitter,
     last_event: Option<String>,
-    /// When the last event was passed on.
-    passed: Option<MonoTime>,
+    /// When the last event was forwarded.
+    last_forwarded: Option<MonoTime>,
 }
 
-/// What the upstream's side of a stream brought.
+/// Result of one read from the upstream.
 enum StreamStep {
-    /// Whole events.
+    /// Complete events; empty if the bytes received complete none.
     Events(Bytes),
-    /// The stream ended as it should.
+    /// The stream ended normally.
     Ended,
-    /// The stream broke off.
+    /// The stream was interrupted.
     Broken(String),
-    /// The request's time is over.
+    /// The request's deadline passed.
     TimeOver,
 }
 
-/// The answer that passes a stream on.
-pub fn pass(open: OpenRequest, live: Box<LiveStream>) -> Response<ResponseBody> {
+/// Builds the response that forwards a stream.
+pub fn forward(open: OpenRequest, live: Box<LiveStream>) -> Response<ResponseBody> {
     let status = live.head.status;
     let mut headers = heads::end_to_end(&live.head.headers);
-    // The length of a resumed stream is not known beforehand.
+    // The length of a stream that may be resumed is not known in advance.
     if open.query.route.kind == RouteKind::ResumableStream {
         headers.remove(http::header::CONTENT_LENGTH);
     }
     let last_event = open.terms.last_event.clone();
-    let relay = EventRelay {
+    let forwarder = EventForwarder {
         open,
         live: Some(live),
         splitter: EventSplitter::default(),
         last_event,
-        passed: None,
+        last_forwarded: None,
     };
-    let events = futures::stream::unfold(Some(relay), next_frame);
-    let mut answer = Response::new(StreamBody::new(events).boxed_unsync());
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
-    answer
+    let events = futures::stream::unfold(Some(forwarder), next_frame);
+    let mut response = Response::new(StreamBody::new(events).boxed_unsync());
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
 }
 
+/// Returns the next frame of the response body, resuming the stream if it is interrupted.
 async fn next_frame(
-    relay: Option<EventRelay>,
-) -> Option<(Result<Frame<Bytes>, BodyError>, Option<EventRelay>)> {
-    let mut relay = relay?;
+    forwarder: Option<EventForwarder>,
+) -> Option<(Result<Frame<Bytes>, BodyError>, Option<EventForwarder>)> {
+    let mut forwarder = forwarder?;
     loop {
-        match relay.step().await {
+        match forwarder.read_step().await {
             StreamStep::Events(events) => {
-                relay.note(&events);
-                return Some((Ok(Frame::data(events)), Some(relay)));
+                forwarder.record_events(&events);
+                return Some((Ok(Frame::data(events)), Some(forwarder)));
             },
             StreamStep::Ended => {
-                relay.end();
+                forwarder.end_stream();
                 return None;
             },
             StreamStep::TimeOver => {
-                relay.close(AttemptFate::Abandoned);
-                relay.open.finish(RunVerdict::MayHaveRun, 0, "time over in the stream");
+                forwarder.end_attempt(AttemptFate::Abandoned);
+                forwarder.open.finish(RunVerdict::MayHaveRun, 0, "time over in the stream");
                 return Some((Err(BodyError::TimeOver), None));
             },
             StreamStep::Broken(reason) => {
-                if let Some(live) = &relay.live {
-                    ends::note_broken(&relay.open, &live.order);
+                if let Some(live) = &forwarder.live {
+                    ends::note_broken(&forwarder.open, &live.order);
                 }
-                relay.close(AttemptFate::Failed);
-                if !relay.resume(&reason).await {
-                    relay.open.finish(RunVerdict::MayHaveRun, 0, reason.as_str());
+                forwarder.end_attempt(AttemptFate::Failed);
+                if !forwarder.resume(&reason).await {
+                    forwarder.open.finish(RunVerdict::MayHaveRun, 0, reason.as_str());
                     return Some((Err(BodyError::Upstream(reason)), None));
                 }
             },
@@ -97,14 +98,15 @@
     }
 }
 
-impl EventRelay {
-    async fn step(&mut self) -> StreamStep {
+impl EventForwarder {
+    /// Reads from the upstream until the request's deadline.
+    async fn read_step(&mut self) -> StreamStep {
         let (shared, deadline) = (self.open.shared.clone(), self.open.query.deadline);
         let Some(live) = &mut self.live else {
-            return StreamStep::Broken("no upstream".to_string());
+            return StreamStep::Broken("no upstream connection".to_string());
         };
-        let framed = shared.wakes.wait_until(&shared.clock, deadline, live.body.frame()).await;
-        let Some(frame) = framed else {
+        let received = shared.wakes.wait_until(&shared.clock, deadline, live.body.frame()).await;
+        let Some(frame) = received else {
             return StreamStep::TimeOver;
         };
         match frame {
@@ -117,13 +119,15 @@
                 let data = frame.into_data().unwrap_or_default();
                 match self.splitter.take(&data) {
                     Ok(events) => StreamStep::Events(events.unwrap_or_default()),
-                    Err(_) => StreamStep::Broken("an event is too long".to_string()),
+                    Err(_) => StreamStep::Broken("event exceeds the size limit".to_string()),
                 }
             },
         }
     }
 
-    fn note(&mut self, events: &Bytes) {
+    /// Records that the replica sent bytes, and the complete events among them for the metrics, the
+    /// log line and a later resumption.
+    fn record_events(&mut self, events: &Bytes) {
         let now = self.open.shared.clock.now();
         if let Some(live) = &self.live {
             self.open.shared.machine().hear(&live.order.replica, now);
@@ -131,34 +135,34 @@
         if events.is_empty() {
             return;
         }
-        self.open.end_reading(Some(now));
-        match self.passed {
+        self.open.end_prefill(Some(now));
+        match self.last_forwarded {
             None => {
                 let took = now.saturating_sub(self.open.query.received);
                 self.open.first_event = Some(took);
                 self.open.shared.metrics.answered(self.open.class(), took);
             },
-            Some(passed) => {
-                let pause = now.saturating_sub(passed);
+            Some(last_forwarded) => {
+                let pause = now.saturating_sub(last_forwarded);
                 self.open.longest_pause = self.open.longest_pause.max(pause);
             },
         }
-        self.passed = Some(now);
+        self.last_forwarded = Some(now);
         if let Some(id) = events::last_id(events) {
             self.last_event = Some(id);
         }
     }
 
-    /// The stream is whole.
-    fn end(&mut self) {
+    /// Ends the request after a complete stream.
+    fn end_stream(&mut self) {
         let now = self.open.shared.clock.now();
         if let Some(live) = self.live.take() {
             let key = self.open.query.adapter.as_ref();
             let replica = &live.order.replica;
             self.open.shared.machine().end(replica, key, AttemptFate::Answered, now);
             match attempt::is_framed(&live.head.headers) {
-                true => self.open.note_good(),
-                // Whether it is whole shows only in whether the replica lives.
+                true => self.open.record_success(),
+                // Without framing, the stream looks complete even if the replica exited: check that.
                 false => ends::note_broken(&self.open, &live.order),
             }
             self.open.shared.pool.put(live.connection);
@@ -166,8 +170,8 @@
         self.open.finish(RunVerdict::Ran, 200, "streamed");
     }
 
-    /// Leaves the upstream of now.
-    fn close(&mut self, fate: AttemptFate) {
+    /// Ends the current attempt and closes its connection.
+    fn end_attempt(&mut self, fate: AttemptFate) {
         let now = self.open.shared.clock.now();
         if let Some(live) = self.live.take() {
             let key = self.open.query.adapter.as_ref();
@@ -175,7 +179,8 @@
         }
     }
 
-    /// Goes on at another replica after the last whole event; tells whether that worked.
+    /// Resumes the stream at another replica after the last complete event. Returns whether that
+    /// succeeded.
     async fn resume(&mut self, reason: &str) -> bool {
         self.splitter.clear();
         let open = &mut self.open;
@@ -203,9 +208,9 @@
                     self.live = Some(live);
                     return true;
                 },
-                AttemptEnd::Whole(_) => open.runs += 1,
+                AttemptEnd::Complete(_) => open.runs += 1,
                 AttemptEnd::Failed(failure) => {
-                    // What was withheld has not been tried.
+                    // A withheld attempt was not sent, so it does not count against the limit.
                     let is_tried = !matches!(failure, AttemptFailure::Withheld);
                     open.runs += u32::from(is_tried);
                     let now = open.shared.clock.now();
@@ -218,9 +223,9 @@
     }
 }
 
-impl Drop for EventRelay {
-    /// A stream that is dropped on the way was left by its caller.
+impl Drop for EventForwarder {
+    /// Reports a stream that is dropped before its end as abandoned: the caller disconnected.
     fn drop(&mut self) {
-        self.close(AttemptFate::Abandoned);
+        self.end_attempt(AttemptFate::Abandoned);
     }
 }
