--- a/quillcove/src/relay/share.rs
+++ b/quillcove/src/relay/share.rs
@@ -1,5 +1,5 @@
-//! Passing on what the platform has published, by tarpc: a relay that the store turns away asks
-//! another one.
+//! Serves what this relay has read from the store to other relays, over tarpc. A relay that cannot
+//! read the store itself fetches this state from another one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,35 +16,39 @@
 
 use super::shared::RelayShared;
 
-/// Longest time for an answer of another relay.
+/// Timeout for fetching the state of another relay, including the connection.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Calls that a relay answers to other relays.
+/// Remote calls that a relay serves to other relays.
 #[tarpc::service]
 pub trait RelayShare {
-    /// All that this relay has read from the store.
+    /// Returns the state that this relay has read from the store.
     async fn published() -> PublishedState;
 }
 
 #[derive(Clone)]
-struct ShareAnswers {
+struct ShareServer {
     shared: Arc<RelayShared>,
 }
 
-impl RelayShare for ShareAnswers {
+impl RelayShare for ShareServer {
     async fn published(self, _context: Context) -> PublishedState {
         self.shared.machine().published(self.shared.clock.now())
     }
 }
 
-/// Answers other relays until the process ends.
+/// Starts serving other relays, until the process ends.
+///
+/// # Errors
+///
+/// If the address cannot be bound.
 pub async fn serve(shared: Arc<RelayShared>, address: SocketAddr) -> std::io::Result<()> {
     let mut incoming = tarpc::serde_transport::tcp::listen(address, Bincode::default).await?;
     tokio::spawn(async move {
         while let Some(transport) = incoming.next().await {
-            let answers = ShareAnswers { shared: shared.clone() };
+            let server = ShareServer { shared: shared.clone() };
             match transport {
-                Ok(transport) => drop(tokio::spawn(answer(transport, answers))),
+                Ok(transport) => drop(tokio::spawn(serve_connection(transport, server))),
                 Err(error) => {
                     warn!(shared.log, "relay's connection not accepted"; "error" => %error);
                 },
@@ -54,7 +58,8 @@
     Ok(())
 }
 
-async fn answer<T>(transport: T, answers: ShareAnswers)
+/// Serves the calls on one connection.
+async fn serve_connection<T>(transport: T, server: ShareServer)
 where
     T: tarpc::Transport<
             tarpc::Response<RelayShareResponse>,
@@ -63,13 +68,13 @@
         + 'static,
 {
     let channel = BaseChannel::with_defaults(transport);
-    let responses = channel.execute(answers.serve());
+    let responses = channel.execute(server.serve());
     responses.for_each(|response| async move { drop(tokio::spawn(response)) }).await;
 }
 
-/// Asks another relay for what it has read.
+/// Fetches the state that another relay has read from the store.
 pub async fn fetch(address: SocketAddr) -> Result<PublishedState, String> {
-    let exchange = async {
+    let call = async {
         let connect = tarpc::serde_transport::tcp::connect(address, Bincode::default);
         let transport = connect.await.map_err(|error| error.to_string())?;
         let client = RelayShareClient::new(Config::default(), transport).spawn();
@@ -77,5 +82,5 @@
         context.deadline = Instant::now() + FETCH_TIMEOUT;
         client.published(context).await.map_err(|error| error.to_string())
     };
-    timeout(FETCH_TIMEOUT, exchange).await.unwrap_or_else(|_| Err("no answer in time".to_string()))
+    timeout(FETCH_TIMEOUT, call).await.unwrap_or_else(|_| Err("no response in time".to_string()))
 }
