--- a/quillcove/src/relay/mod.rs
+++ b/quillcove/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! The relay: a thin process that passes callers' requests through to the upstreams that a
-//! platform lists.
+//! The relay: a thin process that forwards callers' requests to the upstreams that the platform
+//! lists.
 //!
-//! Duties: `serve` talks to callers, upstreams and other processes of the system, and owns the
-//! machines that decide; `watch` follows the platform's store and feeds a bounded ring.
+//! The calling thread serves callers, upstreams and other processes of the system, and owns the state
+//! machines that decide; the thread `watch` reads the platform's store and feeds a bounded channel.
 
 mod answers;
 mod attempt;
@@ -40,11 +40,12 @@
 use crate::operator::{self, ProcessInspector};
 use crate::peers::PeerSocket;
 
-/// Answers of the store that may wait for the serving duty.
-const RING_PLACES: usize = 64;
+/// Capacity of the channel for what was read from the store.
+const STORE_CHANNEL_CAPACITY: usize = 64;
 
-/// Ports that are tried for other processes when the settings leave the choice to the system.
-const CONTROL_TRIES: u32 = 16;
+/// Number of ports that are tried for the control address if the settings leave the choice to the
+/// operating system.
+const CONTROL_BIND_TRIES: u32 = 16;
 
 struct RelayInspector {
     shared: Arc<RelayShared>,
@@ -61,32 +62,32 @@
     }
 }
 
-/// Addresses that a relay has bound.
+/// Addresses that a relay is bound to.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayAddresses {
-    /// For callers.
+    /// HTTP server for callers.
     pub callers: SocketAddr,
-    /// For other processes of the system.
+    /// Datagrams and calls of other relays and of loaders.
     pub control: SocketAddr,
-    /// For operators.
+    /// HTTP server for operators: health, metrics and state.
     pub operator: SocketAddr,
 }
 
-/// What reaches a relay from outside of its duties.
+/// Signals from the process to a relay, and the clock that they share.
 pub struct RelaySignals {
-    /// `true` once the planned stop is to begin.
+    /// Becomes `true` when the planned stop is to begin.
     pub stopped: watch::Receiver<bool>,
-    /// The settings as they are now.
+    /// The current settings.
     pub settings: watch::Receiver<RelaySettings>,
     /// The process's clock.
     pub clock: MonoClock,
 }
 
-/// Runs a relay until its planned stop is over; `bound` gets its addresses.
+/// Runs a relay until its planned stop has ended. Calls `on_bound` with the bound addresses.
 ///
 /// # Errors
 ///
-/// When an address can not be bound.
+/// If an address cannot be bound.
 ///
 /// ```no_run
 /// use quillcove::config::relay::RelaySettings;
@@ -105,34 +106,42 @@
     settings: RelaySettings,
     log: Logger,
     signals: RelaySignals,
-    bound: impl FnOnce(RelayAddresses),
+    on_bound: impl FnOnce(RelayAddresses),
 ) -> eyre::Result<()> {
-    let is_over = Arc::new(AtomicBool::new(false));
-    let (ring, inputs) = mpsc::channel(RING_PLACES);
+    let is_stopped = Arc::new(AtomicBool::new(false));
+    let (sender, inputs) = mpsc::channel(STORE_CHANNEL_CAPACITY);
     let (hurry, hurried) = watch::channel(0);
     let watch_times = WatchTimes::of(&settings.platform.duty_rules());
     let (order, orders) = watch::channel(FollowOrder { watch_times, ..FollowOrder::default() });
-    let right = settings.rules().right;
+    let key_validity = settings.rules().right;
     let clock = signals.clock;
-    let follower =
-        StoreFollower::new(&settings.platform, &right, ring, hurried, orders, clock, log.clone());
-    let watch_over = is_over.clone();
+    let follower = StoreFollower::new(
+        &settings.platform,
+        &key_validity,
+        sender,
+        hurried,
+        orders,
+        clock,
+        log.clone(),
+    );
+    let follower_stopped = is_stopped.clone();
     let _follow = duty::spawn("watch", move || {
-        duty::run_async(1, follower.run(watch_over));
+        duty::run_async(1, follower.run(follower_stopped));
     });
     let feed = InputFeed { store: inputs, settings: signals.settings, hurry, order };
-    let result = duty::run_async(1, serve(settings, clock, log, signals.stopped, feed, bound));
-    is_over.store(true, Ordering::Relaxed);
+    let result = duty::run_async(1, serve(settings, clock, log, signals.stopped, feed, on_bound));
+    is_stopped.store(true, Ordering::Relaxed);
     result
 }
 
+/// Binds the addresses and serves them until the planned stop has ended.
 async fn serve(
     settings: RelaySettings,
     clock: MonoClock,
     log: Logger,
     stopped: watch::Receiver<bool>,
     feed: InputFeed,
-    bound: impl FnOnce(RelayAddresses),
+    on_bound: impl FnOnce(RelayAddresses),
 ) -> eyre::Result<()> {
     let listener = TcpListener::bind(settings.listen.callers).await?;
     let control_address = settings.listen.control;
@@ -143,7 +152,7 @@
     let socket = bind_control(&shared, control_address).await?;
     let control = socket.local_addr()?;
     let inspector = RelayInspector { shared: shared.clone() };
-    // The operators' address closes when its server is dropped.
+    // Dropping the operator server closes its address.
     let operator = operator::start(operator_address, inspector, shared.metrics.clone(), &log)?;
     let addresses = RelayAddresses {
         callers: listener.local_addr()?,
@@ -153,16 +162,16 @@
     info!(log, "relay started"; "callers" => %addresses.callers,
         "control" => %addresses.control, "operator" => %addresses.operator,
         "platform" => %platform, "seeds" => ?seeds);
-    bound(addresses);
-    let duty = InputDuty::new(shared.clone(), socket, control, feed);
-    tokio::spawn(duty.run());
-    serve::accept(listener, shared.clone(), stopped).await;
+    on_bound(addresses);
+    let input = InputDuty::new(shared.clone(), socket, control, feed);
+    tokio::spawn(input.run());
+    serve::serve_callers(listener, shared.clone(), stopped).await;
     info!(log, "relay stopped"; "in_flight" => shared.machine().in_flight());
     Ok(())
 }
 
-/// Binds one port for datagrams and calls of other processes. A port that the system picks for
-/// datagrams may be taken for calls, so that another one is tried.
+/// Binds one port number for both datagrams (UDP) and calls (TCP) of other processes. If the
+/// operating system picks a UDP port that is in use for TCP, another one is tried.
 async fn bind_control(shared: &Arc<RelayShared>, address: SocketAddr) -> eyre::Result<PeerSocket> {
     let mut tries = 1;
     loop {
@@ -170,8 +179,8 @@
         let bound = socket.local_addr()?;
         match share::serve(shared.clone(), bound).await {
             Ok(()) => return Ok(socket),
-            Err(_) if address.port() == 0 && tries < CONTROL_TRIES => tries += 1,
-            Err(error) => return Err(error).wrap_err_with(|| format!("can not bind {bound}")),
+            Err(_) if address.port() == 0 && tries < CONTROL_BIND_TRIES => tries += 1,
+            Err(error) => return Err(error).wrap_err_with(|| format!("cannot bind {bound}")),
         }
     }
 }
--- a/quillcove/src/relay/serve.rs
+++ b/quillcove/src/relay/serve.rs
@@ -1,4 +1,5 @@
-//! The callers' address: connections, their limits, and the planned stop.
+//! HTTP server for callers: accepts connections, applies their limits, and drains them in the
+//! planned stop.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -19,31 +20,31 @@
 use super::shared::RelayShared;
 use crate::process::note_ready;
 
-/// Time after the start of a planned stop in which callers still are served as ever, since the
-/// balancer takes a host out only after two questions, a second apart.
-const LEAVE_TIME: Duration = Duration::from_millis(2500);
+/// Time after the start of a planned stop during which callers are served as before, because the
+/// load balancer removes a host only after two failed health checks, one second apart.
+const DEREGISTRATION_TIME: Duration = Duration::from_millis(2500);
 
-/// Time before the end of the planned stop that is kept for answers on their way.
+/// Time reserved before the end of the planned stop for responses that are still being sent.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 
-/// Time between looks at whether the last request has ended.
+/// Interval at which the number of requests in flight is polled during the planned stop.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Pause after a connection could not be accepted.
+/// Delay before the next accept after a failed one.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Smallest buffer that hyper allows for a head.
-const BUFFER_LEAST: usize = 8192;
+/// Smallest buffer for a request head that hyper accepts, in bytes.
+const MIN_BUFFER_SIZE: usize = 8192;
 
 /// Serves callers until the planned stop is over.
-pub async fn accept(
+pub async fn serve_callers(
     listener: TcpListener,
     shared: Arc<RelayShared>,
     mut stopped: watch::Receiver<bool>,
 ) {
-    let (leave, leaving) = watch::channel(false);
+    let (drain, draining) = watch::channel(false);
     tokio::select! {
-        () = accept_all(&listener, &shared, leaving.clone()) => {},
+        () = accept_all(&listener, &shared, draining.clone()) => {},
         _ = stopped.wait_for(|is_stopped| *is_stopped) => {},
     }
     let now = shared.clock.now();
@@ -51,33 +52,34 @@
     shared.machine().stop();
     note_ready(&shared.is_ready, false, &shared.log);
     info!(shared.log, "planned stop begins"; "in_flight" => shared.machine().in_flight());
-    let leave_at = now + LEAVE_TIME;
-    let accepted = accept_all(&listener, &shared, leaving);
-    let _ = shared.wakes.wait_until(&shared.clock, leave_at, accepted).await;
-    // What is taken from now on might not end within the stop's limit: callers that still come
-    // are turned away by the closed port, which tells them to try another host at once.
+    let accept_until = now + DEREGISTRATION_TIME;
+    let accepted = accept_all(&listener, &shared, draining);
+    let _ = shared.wakes.wait_until(&shared.clock, accept_until, accepted).await;
+    // A request accepted from now on might not end within the stop's time limit. Callers are rejected
+    // by the closed port, which makes them try another host at once.
     drop(listener);
-    leave.send_replace(true);
+    drain.send_replace(true);
     let drained = async {
         while shared.machine().in_flight() > 0 {
             sleep(STOP_POLL).await;
         }
-        // The last answers leave.
+        // Gives the last responses time to be sent.
         sleep(STOP_POLL * 5).await;
     };
     let _ = shared.wakes.wait_until(&shared.clock, end, drained).await;
 }
 
+/// Accepts connections until the future is dropped.
 async fn accept_all(
     listener: &TcpListener,
     shared: &Arc<RelayShared>,
-    leaving: watch::Receiver<bool>,
+    draining: watch::Receiver<bool>,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let caller = caller_digest(peer.ip());
-                tokio::spawn(serve_connection(stream, caller, shared.clone(), leaving.clone()));
+                tokio::spawn(serve_connection(stream, caller, shared.clone(), draining.clone()));
             },
             Err(error) => {
                 warn!(shared.log, "connection not accepted"; "error" => %error);
@@ -87,21 +89,23 @@
     }
 }
 
-fn limits_of(shared: &RelayShared) -> CallerLimits {
-    shared.machine().sheet().map(|sheet| sheet.limits).unwrap_or_default()
+/// Returns the limits of the configuration in force, or the defaults if there is none yet.
+fn caller_limits(shared: &RelayShared) -> CallerLimits {
+    shared.machine().sheet().map(|configuration| configuration.limits).unwrap_or_default()
 }
 
+/// Serves one connection until it ends; once draining begins, it closes after the current response.
 async fn serve_connection(
     stream: TcpStream,
     caller: CallerDigest,
     shared: Arc<RelayShared>,
-    mut leaving: watch::Receiver<bool>,
+    mut draining: watch::Receiver<bool>,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
-        warn!(shared.log, "connection lost at once"; "error" => %error);
+        warn!(shared.log, "connection lost on accept"; "error" => %error);
         return;
     }
-    let limits = limits_of(&shared);
+    let limits = caller_limits(&shared);
     let service = service_fn(move |request: hyper::Request<Incoming>| {
         let shared = shared.clone();
         async move { Ok::<_, Infallible>(forward::handle(shared, request, caller).await) }
@@ -110,14 +114,14 @@
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.header_bytes.max(BUFFER_LEAST))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_SIZE))
         .half_close(false);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        // How a connection ends is seen by the requests on it.
+        // The requests on the connection handle its errors.
         _ = &mut connection => return,
-        _ = leaving.wait_for(|is_leaving| *is_leaving) => {},
+        _ = draining.wait_for(|is_draining| *is_draining) => {},
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
