--- a/quillcove/src/relay/mod.rs
+++ b/quillcove/src/relay/mod.rs
@@ -1,8 +1,9 @@
 //! The relay: a thin process that forwards callers' requests to the upstreams that the platform
 //! lists.
 //!
-//! The calling thread serves callers, upstreams and other processes of the system, and owns the state
-//! machines that decide; the thread `watch` reads the platform's store and feeds a bounded channel.
+//! The calling thread serves callers, upstreams and other processes of the system, and owns the
+//! state machines that decide; the thread `watch` reads the platform's store and feeds a bounded
+//! channel.
 
 mod answers;
 mod attempt;
--- a/quillcove/src/relay/serve.rs
+++ b/quillcove/src/relay/serve.rs
@@ -55,8 +55,8 @@
     let accept_until = now + DEREGISTRATION_TIME;
     let accepted = accept_all(&listener, &shared, draining);
     let _ = shared.wakes.wait_until(&shared.clock, accept_until, accepted).await;
-    // A request accepted from now on might not end within the stop's time limit. Callers are rejected
-    // by the closed port, which makes them try another host at once.
+    // A request accepted from now on might not end within the stop's time limit. The closed port
+    // rejects further callers, which makes them try another host at once.
     drop(listener);
     drain.send_replace(true);
     let drained = async {
