--- a/quillcove/src/relay/input/mod.rs
+++ b/quillcove/src/relay/input/mod.rs
@@ -233,7 +233,7 @@
         let gap = now.saturating_sub(self.last_tick_at);
         self.last_tick_at = now;
         if gap > SUSPENSION_THRESHOLD && now > SUSPENSION_THRESHOLD {
-            self.shared.wakes.ring();
+            self.shared.wakes.notify_resumed();
             warn!(self.shared.log, "process was paused"; "gap_ms" => gap.as_millis() as u64);
             self.coordinates_from = now + COORDINATION_DELAY;
             self.start_crash_requests(now);
--- a/quillcove/src/relay/shared.rs
+++ b/quillcove/src/relay/shared.rs
@@ -9,8 +9,8 @@
 
 use super::pool::ReplicaPool;
 use super::waiters::AdapterWaiters;
-use super::wake::WakeBell;
-use super::words::UnreadWords;
+use super::wake::ResumeNotifier;
+use super::words::UnknownHeaders;
 use crate::clock::MonoClock;
 use crate::config::relay::RelaySettings;
 use crate::metrics::ProcessMetrics;
@@ -23,11 +23,11 @@
     pub metrics: Arc<ProcessMetrics>,
     pub pool: ReplicaPool,
     /// Notifies waits after a suspension of the process.
-    pub wakes: WakeBell,
+    pub wakes: ResumeNotifier,
     pub is_ready: AtomicBool,
     pub waiters: AdapterWaiters,
-    /// Response headers of replicas that this relay does not evaluate.
-    pub unread: UnreadWords,
+    /// Response headers of replicas that no code reads.
+    pub unread: UnknownHeaders,
     /// Notifies the input task that messages are to be sent, such as load requests.
     pub wanted: Notify,
     machine: Mutex<RelayMachine>,
@@ -39,11 +39,11 @@
         Ok(Self {
             pool: ReplicaPool::new(settings.requests.connect_timeout, clock),
             clock,
-            wakes: WakeBell::new(),
+            wakes: ResumeNotifier::new(),
             metrics: Arc::new(ProcessMetrics::new("relay")?),
             is_ready: AtomicBool::new(false),
             waiters: AdapterWaiters::default(),
-            unread: UnreadWords::default(),
+            unread: UnknownHeaders::default(),
             wanted: Notify::new(),
             machine: Mutex::new(machine),
             settings,
--- a/quillcove/src/relay/waiters.rs
+++ b/quillcove/src/relay/waiters.rs
@@ -25,11 +25,11 @@
     }
 
     /// Registers a request as waiting for an adapter until the returned guard is dropped.
-    pub fn join(&self, key: &AdapterKey) -> WaitingSeat<'_> {
+    pub fn join(&self, key: &AdapterKey) -> WaiterGuard<'_> {
         let mut groups = self.groups();
         let group = groups.entry(key.clone()).or_default();
         group.members += 1;
-        WaitingSeat { waiters: self, key: key.clone(), news: group.notify.clone() }
+        WaiterGuard { waiters: self, key: key.clone(), news: group.notify.clone() }
     }
 
     /// Notifies the requests that wait for adapters which an engine now holds.
@@ -46,13 +46,13 @@
 }
 
 /// Registration of one waiting request, removed on drop.
-pub struct WaitingSeat<'a> {
+pub struct WaiterGuard<'a> {
     waiters: &'a AdapterWaiters,
     key: AdapterKey,
     pub news: Arc<Notify>,
 }
 
-impl Drop for WaitingSeat<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         let mut groups = self.waiters.groups();
         if let Some(group) = groups.get_mut(&self.key) {
--- a/quillcove/src/relay/wake.rs
+++ b/quillcove/src/relay/wake.rs
@@ -10,17 +10,17 @@
 
 /// Makes waits read the clock again after a suspension of the process. The runtime's timers do not advance during a
 /// suspension, so that a request's deadline would pass too late by its length.
-pub struct WakeBell {
+pub struct ResumeNotifier {
     resumed: Notify,
 }
 
-impl WakeBell {
+impl ResumeNotifier {
     pub fn new() -> Self {
         Self { resumed: Notify::new() }
     }
 
     /// Makes all waits read the clock again.
-    pub fn ring(&self) {
+    pub fn notify_resumed(&self) {
         self.resumed.notify_waiters();
     }
 
--- a/quillcove/src/relay/words.rs
+++ b/quillcove/src/relay/words.rs
@@ -1,4 +1,4 @@
-//! Response headers of replicas that no code evaluates. Each name is logged once, so that operators notice when a new
+//! Response headers of replicas that no code reads. Each name is logged once, so that operators notice when a new
 //! one appears.
 
 use std::collections::BTreeSet;
@@ -7,25 +7,25 @@
 /// Maximum number of names stored, so that a replica that makes up names does not fill the memory or the log.
 const MAX_NAMES: usize = 16;
 
-/// Names of unevaluated headers seen so far.
+/// Names of unknown headers seen so far.
 ///
 /// ```
-/// use quillcove::relay::words::UnreadWords;
+/// use quillcove::relay::words::UnknownHeaders;
 ///
-/// let words = UnreadWords::default();
-/// assert!(words.is_first("server-mood"));
-/// assert!(!words.is_first("server-mood"));
+/// let headers = UnknownHeaders::default();
+/// assert!(headers.is_first("server-mood"));
+/// assert!(!headers.is_first("server-mood"));
 /// ```
 #[derive(Debug, Default)]
-pub struct UnreadWords {
+pub struct UnknownHeaders {
     names: Mutex<BTreeSet<String>>,
 }
 
-impl UnreadWords {
+impl UnknownHeaders {
     /// Returns whether a name is seen for the first time; `false` for a new name once the maximum number is stored.
     ///
     /// ```
-    /// assert!(quillcove::relay::words::UnreadWords::default().is_first("server-mood"));
+    /// assert!(quillcove::relay::words::UnknownHeaders::default().is_first("server-mood"));
     /// ```
     pub fn is_first(&self, name: &str) -> bool {
         let mut names = self.names.lock().unwrap_or_else(PoisonError::into_inner);
