--- a/quillcove/src/relay/input/mod.rs
+++ b/quillcove/src/relay/input/mod.rs
@@ -30,7 +30,7 @@
 use crate::config::relay::RelaySettings;
 use crate::peers::{PeerArrival, PeerSocket};
 
-/// Interval of the periodic work in [`InputDuty::tick`].
+/// Interval of the input task's periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time after the start, or after a suspension of the process, before this relay may coordinate model loads: long
