--- a/quillcove/src/relay/input/mod.rs
+++ b/quillcove/src/relay/input/mod.rs
@@ -30,7 +30,7 @@
 use crate::config::relay::RelaySettings;
 use crate::peers::{PeerArrival, PeerSocket};
 
-/// Interval of the periodic work in [`InputDuty::tick`].
+/// Interval of the input task's periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time after the start, or after a suspension of the process, before this relay may coordinate model loads: long
@@ -233,7 +233,7 @@
         let gap = now.saturating_sub(self.last_tick_at);
         self.last_tick_at = now;
         if gap > SUSPENSION_THRESHOLD && now > SUSPENSION_THRESHOLD {
-            self.shared.wakes.ring();
+            self.shared.wakes.notify_resumed();
             warn!(self.shared.log, "process was paused"; "gap_ms" => gap.as_millis() as u64);
             self.coordinates_from = now + COORDINATION_DELAY;
             self.start_crash_requests(now);
