--- a/quillcove/src/entry/mod.rs
+++ b/quillcove/src/entry/mod.rs
@@ -1,7 +1,7 @@
-//! The entry: a thin process between callers and agents.
+//! The entry: a thin process that forwards callers' requests to agents.
 //!
-//! Duties: `decide` owns the machine; `serve` talks to callers, agents and operators; `watch`
-//! follows the platform.
+//! It runs three threads: `decide` owns the state machine; `serve` handles the connections to
+//! callers, agents and operators; `watch` reads hosts and bundles from the platform.
 
 mod admit;
 mod attempt;
@@ -32,30 +32,30 @@
 use crate::platform::HttpPlatform;
 use crate::process::{DumpInspector, ProcessHandle, close_when_halted};
 
-/// Events that may wait for the deciding duty.
+/// Capacity of the event queue of the `decide` thread.
 const RING_PLACES: usize = 8192;
 
-/// Questions that may wait for the watching duty.
+/// Capacity of the request queue of the `watch` thread.
 const ASK_PLACES: usize = 64;
 
-/// Time between ticks of the machine.
+/// Interval between ticks of the state machine.
 const TICK: Duration = Duration::from_millis(10);
 
 /// A running entry.
 pub struct EntryProcess {
-    /// Address for callers.
+    /// Address on which callers are served.
     pub callers: SocketAddr,
-    /// Address for operators.
+    /// Address on which operators are served.
     pub operator: SocketAddr,
     handle: ProcessHandle<EntryInput>,
 }
 
 impl EntryProcess {
-    /// Starts all duties.
+    /// Starts all threads and waits until the servers are bound.
     ///
     /// # Errors
     ///
-    /// When an address can not be bound.
+    /// Returns an error if the metrics can not be created or an address can not be bound.
     ///
     /// ```
     /// use quillcove::config::entry::EntrySettings;
@@ -121,7 +121,7 @@
         Ok(Self { callers, operator, handle })
     }
 
-    /// Begins the planned stop: new requests are refused and those in flight end whole.
+    /// Begins a graceful shutdown: new requests are rejected and those in flight run to completion.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -132,7 +132,7 @@
         self.handle.ring.put(EntryInput::Event(EntryEvent::StopAsked));
     }
 
-    /// Ends at once and cuts what is in flight.
+    /// Stops at once and aborts the requests in flight.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -143,7 +143,7 @@
         self.handle.abort(EntryInput::Halt);
     }
 
-    /// Tells whether the planned stop is over.
+    /// Returns whether the graceful shutdown has completed.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -154,7 +154,7 @@
         self.handle.has_stopped()
     }
 
-    /// Tells whether new requests are taken.
+    /// Returns whether new requests are accepted.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -165,7 +165,7 @@
         self.handle.is_ready()
     }
 
-    /// Requests in flight now.
+    /// Returns the number of requests in flight.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -176,7 +176,7 @@
         self.handle.dump(EntryInput::Dump).map_or(0, |view| view.requests)
     }
 
-    /// Waits for the end of all duties.
+    /// Waits until all threads have ended.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -189,6 +189,7 @@
     }
 }
 
+/// Passes an update of the platform to the state machine.
 fn tell_machine(ring: &DutyRing<EntryInput>, news: WatchNews) {
     let event = match news {
         WatchNews::Bundle(bundle) => EntryEvent::BundleTaken(bundle),
@@ -197,10 +198,11 @@
     ring.put(EntryInput::Event(event));
 }
 
-/// Addresses for callers and operators.
+/// Bound addresses for callers and for operators, in this order.
 type BoundAddresses = (SocketAddr, SocketAddr);
 
-/// Runs the servers until the process halts.
+/// Starts the servers, reports their addresses or the error on `bound`, and runs them until the
+/// process halts.
 async fn run_servers(
     serve: ServeContext,
     inspector: DumpInspector<EntryInput, EntryView>,
