--- a/quillcove/src/entry/decide.rs
+++ b/quillcove/src/entry/decide.rs
@@ -1,4 +1,4 @@
-//! The duty that decides: it owns the machine and carries its actions out.
+//! The `decide` thread: owns the entry's state machine and executes its actions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,33 +19,33 @@
 use crate::duty;
 use crate::process::note_ready;
 
-/// Steps that may wait for a request's handler; it never has more than one at a time.
+/// Capacity of the step queue of a request's handler, which never has more than one step pending.
 pub const STEP_PLACES: usize = 4;
 
-/// What the deciding duty takes.
+/// Input of the `decide` thread.
 pub enum EntryInput {
-    /// An event for the machine.
+    /// An event for the state machine.
     Event(EntryEvent),
-    /// A request, with the place for its steps.
+    /// A new request, with the channel on which its handler receives steps.
     Request(RouteQuery, mpsc::Sender<RequestStep>),
-    /// A question for the address of control calls to a host's agent.
+    /// Looks up the address for control calls to a host's agent.
     FindControl(HostId, oneshot::Sender<Option<String>>),
-    /// A wish for the whole state.
+    /// Requests a dump of the state.
     Dump(oneshot::Sender<EntryView>),
-    /// End now.
+    /// Ends the thread at once.
     Halt,
 }
 
-/// What a request's handler does next.
+/// Next step of a request's handler.
 #[derive(Clone, Debug)]
 pub enum RequestStep {
-    /// Make an attempt.
+    /// Makes an attempt.
     Send(AttemptOrder),
-    /// Answer with a refusal.
+    /// Rejects the request with this refusal.
     Finish(WorkRefusal),
 }
 
-/// State of the duty.
+/// State of the `decide` thread.
 pub struct DecideDuty {
     pub machine: EntryMachine,
     pub clock: MonoClock,
@@ -57,11 +57,12 @@
 }
 
 impl DecideDuty {
-    /// Starts the duty's thread.
+    /// Starts the thread, which handles its inputs and a tick of the machine each `tick`.
     pub fn spawn(mut self, inputs: Receiver<EntryInput>, tick: Duration) -> JoinHandle<()> {
         duty::start("decide", inputs, tick, move |input| self.take(input))
     }
 
+    /// Handles one input, or a tick if there is none; returns whether the thread goes on.
     fn take(&mut self, input: Option<EntryInput>) -> bool {
         match input {
             None => self.handle(EntryEvent::Ticked),
@@ -118,7 +119,8 @@
         }
     }
 
-    /// A handler that is gone closes its request by itself.
+    /// Sends a step to a request's handler. A handler that has ended needs none: its guard reports
+    /// the request as done.
     fn step(&mut self, request: RequestId, step: RequestStep) {
         if let Some(steps) = self.callers.get(&request) {
             let _ = steps.try_send(step);
