--- a/quillcove/src/entry/context.rs
+++ b/quillcove/src/entry/context.rs
@@ -1,4 +1,4 @@
-//! What the handlers of an entry's requests share.
+//! State shared by the request handlers of an entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use crate::web::answer::explain;
 use crate::web::client::WebClient;
 
-/// Time that unused connections to agents are kept.
+/// Time after which unused connections to agents are closed.
 const IDLE_TIME: Duration = Duration::from_secs(30);
 
-/// What the handlers share.
+/// Settings, queues and clients that the request handlers share.
 #[derive(Clone)]
 pub struct ServeContext {
     pub settings: Arc<EntrySettings>,
@@ -44,6 +44,11 @@
         Self { settings, ring, shelf, clock, metrics, client, pool: ControlPool::default() }
     }
 
+    /// Returns the bundle in force.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`RefusalReason::BundleMissing`] if no bundle has been received yet.
     pub fn bundle(&self) -> Result<Arc<FleetBundle>, AdmitError> {
         let held = self.shelf.bundle().ok_or_else(|| AdmitError {
             reason: RefusalReason::BundleMissing,
