--- a/quillcove/src/entry/admit.rs
+++ b/quillcove/src/entry/admit.rs
@@ -1,4 +1,4 @@
-//! Reading callers' requests: target, class, deadline and whether they may run twice.
+//! Parsing of callers' requests: target, priority class, deadline and whether they may run twice.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -20,18 +20,18 @@
 use crate::config::entry::RequestSection;
 use crate::web::headers;
 
-/// Longest name of a caller or a key, in bytes.
+/// Longest caller name, ticket or idempotency key, in bytes.
 const TEXT_LIMIT: usize = 256;
 
-/// Bytes of a prompt that decide on which engine its prefix is likely cached.
+/// Bytes at the start of a prompt that are hashed to prefer an engine with a cached prefix.
 const PREFIX_BYTES: usize = 256;
 
-/// Why a request is not admitted.
+/// Error of a request that is not admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmitError {
-    /// Reason for the verdict.
+    /// Reason given to the caller.
     pub reason: RefusalReason,
-    /// What was found and what is accepted.
+    /// Explanation: what was received and what is accepted.
     pub message: String,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// What the headers of a request say.
+/// Options that a request's headers set.
 #[derive(Clone, Debug)]
 pub struct RequestTerms {
     pub class: WorkClass,
@@ -50,11 +50,12 @@
     pub caller: String,
     pub ticket: Option<String>,
     pub key: Option<String>,
-    /// Most upstreams that the request may be sent to, where its route says so.
+    /// Highest number of upstreams that the request may be sent to; `None` without a route.
     pub attempt_limit: Option<u32>,
 }
 
-/// Reads the headers that belong to quillcove.
+/// Parses the `Quillcove-*` headers and the idempotency key. `default` applies if the request does
+/// not say whether it may be repeated.
 pub fn read_terms(
     headers: &HeaderMap,
     default: RepeatRule,
@@ -88,8 +89,9 @@
     })
 }
 
-/// Reads the headers of a request of a route. The route's word goes before the caller's where the two
-/// clash: what may run once is not repeated, and nothing is held longer than the route allows.
+/// Parses the headers of a request that matched a route. The route's settings override the caller's
+/// where they conflict: a request that may run only once is not repeated, and no request is held
+/// longer than the route's timeout.
 pub fn read_route_terms(
     headers: &HeaderMap,
     route: &RouteRecord,
@@ -134,7 +136,7 @@
     }
 }
 
-/// The parts of a completion request that routing needs.
+/// Fields of a completion request that routing needs.
 #[derive(serde::Deserialize)]
 struct CompletionHead<'a> {
     model: String,
@@ -152,13 +154,14 @@
     pub adapter: AdapterRef,
     pub model: String,
     pub prefix: Option<u64>,
-    /// Whether the caller wants a stream of events.
+    /// Whether the caller requested an event stream.
     pub is_stream: bool,
     /// The body with the adapter's name and version in place of the caller's model name.
     pub body: Bytes,
 }
 
-/// Resolves the model of a completion request, once for its whole life.
+/// Parses a completion request and resolves its model to an adapter version, which all attempts of
+/// the request use.
 pub fn read_completion(
     body: &Bytes,
     class: WorkClass,
@@ -181,7 +184,8 @@
     Ok(AdmittedCompletion { adapter, model, prefix, is_stream: head.stream, body })
 }
 
-/// Puts the resolved adapter and the engine's priority into the body; all else stays.
+/// Sets the resolved adapter and the engine's priority in the body and leaves all other fields as
+/// they are.
 fn rewrite_body(body: &Bytes, adapter: &AdapterRef, class: WorkClass) -> Result<Bytes, AdmitError> {
     let mut fields: serde_json::Map<String, serde_json::Value> =
         serde_json::from_slice(body).map_err(|error| AdmitError::bad(format!("body: {error}")))?;
@@ -191,8 +195,9 @@
     Ok(body.into())
 }
 
-/// The host that owns a run which must not happen twice: the issuer of its ticket, or among the
-/// replicas that the bundle names, the first by rendezvous hashing of its key.
+/// Returns the host that owns a request which must run at most once: the issuer of its ticket, or
+/// the first of the bundle's replicas by rendezvous hashing of the caller and the idempotency key.
+/// Returns `None` for a repeatable request and for one with neither ticket nor key.
 pub fn owner_of(
     terms: &RequestTerms,
     service: &str,
@@ -225,7 +230,7 @@
     }
 }
 
-/// Puts the parts of a query together.
+/// Builds the routing query of a request, with its deadline counted from `now`.
 pub fn query(
     request: RequestId,
     target: RouteTarget,
@@ -246,7 +251,7 @@
     }
 }
 
-/// Who sent a request: the caller that it names, else where it came from.
+/// Returns the digest of the caller's name, or of its address if the request names no caller.
 pub fn caller_of(terms: &RequestTerms, address: IpAddr) -> CallerDigest {
     match terms.caller.as_str() {
         "" => caller_digest(address),
