--- a/quillcove/src/entry/attempt.rs
+++ b/quillcove/src/entry/attempt.rs
@@ -1,4 +1,5 @@
-//! One request on its way: attempts at agents until one answers or the machine gives up.
+//! Handling of one request: makes attempts at agents until one responds or the state machine rejects
+//! the request.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -29,32 +30,33 @@
 use crate::web::client::WebError;
 use crate::web::headers;
 
-/// Longest time for a withdrawal, so that a caller learns its verdict soon.
+/// Timeout of a withdrawal; short, so that the caller receives its verdict soon.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time beyond a request's deadline after which an attempt without an answer is lost.
+/// Time after a request's deadline at which an attempt without a response counts as lost.
 const ANSWER_MARGIN: Duration = Duration::from_millis(200);
 
-/// Largest refusal of an agent, in bytes.
+/// Largest body of an agent's refusal that is read, in bytes.
 const REFUSAL_LIMIT: usize = 64 << 10;
 
-/// A request as it goes to agents.
+/// A request as it is sent to agents.
 pub struct OutgoingRequest {
     pub query: RouteQuery,
     pub terms: RequestTerms,
     pub method: Method,
-    /// Path and query at the upstream, without a leading slash.
+    /// Path and query string at the upstream, without a leading slash.
     pub path: String,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// Set for completions.
+    /// Set only for completions.
     pub adapter: Option<AdapterRef>,
-    /// Whether a stream of events is answered.
+    /// Whether the response is an event stream.
     pub is_stream: bool,
 }
 
 impl OutgoingRequest {
-    /// The same with what it is, for a caller at this address.
+    /// Adds the request's identity: the digest of its content and that of its caller. `address`
+    /// identifies a caller that gives no name.
     pub fn identified(mut self, address: IpAddr) -> Self {
         let parts = RequestParts {
             method: self.method.as_str(),
@@ -69,7 +71,7 @@
     }
 }
 
-/// Tells the machine when a request is over, whichever way its handler ends.
+/// Reports a request to the state machine as done when dropped, however its handler ends.
 struct RequestGuard {
     ring: DutyRing<EntryInput>,
     request: RequestId,
@@ -81,7 +83,7 @@
     }
 }
 
-/// Times and counts one request.
+/// Records the duration and outcome of one request in the metrics.
 struct RequestWatch {
     state: ServeContext,
     class: WorkClass,
@@ -95,7 +97,7 @@
     }
 }
 
-/// Runs a request to its answer.
+/// Makes attempts as the state machine orders them and returns the response to the caller.
 pub async fn run(state: &ServeContext, outgoing: OutgoingRequest) -> WebAnswer {
     let request = outgoing.query.request;
     let (sender, mut steps) = mpsc::channel(STEP_PLACES);
@@ -131,14 +133,14 @@
     state.ring.put(EntryInput::Event(event));
 }
 
-/// Answers the caller with a refusal, at once.
+/// Records a refusal and returns it as the response to the caller.
 fn give_up(watch: &RequestWatch, request: RequestId, refused: &WorkRefusal) -> WebAnswer {
     watch.state.metrics.refused(refused.reason, watch.class);
     watch.finished(refused.verdict);
     with_request_id(refusal(refused, explain(refused.reason)), request)
 }
 
-/// Adds the request's id to an answer.
+/// Adds the request's ID to a response.
 pub fn with_request_id(answer: WebAnswer, request: RequestId) -> WebAnswer {
     let mut response = answer?;
     let id = HeaderValue::from_str(&format!("{request:030x}")).map_err(internal)?;
@@ -146,7 +148,7 @@
     Ok(response)
 }
 
-/// Makes one attempt.
+/// Makes one attempt. Returns how it ended and, if the upstream responded, the response.
 async fn attempt(
     state: &ServeContext,
     outgoing: &OutgoingRequest,
@@ -168,7 +170,8 @@
     }
 }
 
-/// Tells an agent's refusal from an upstream's answer.
+/// Distinguishes an agent's refusal from an upstream's response, and passes on the state that the
+/// agent reports about itself in a header.
 async fn sort_answer(
     state: &ServeContext,
     order: &AttemptOrder,
@@ -181,12 +184,12 @@
     if !response.headers().contains_key(headers::REFUSED) {
         return match response.headers().contains_key(headers::VERDICT) {
             true => (AttemptEnd::Answered, Some(response)),
-            // Not an agent's answer: the address may belong to somebody else by now.
+            // Not a response of an agent: another process may use the address by now.
             false => (AttemptEnd::Lost, None),
         };
     }
     let refused = read_refusal(response.headers());
-    // The connection is of use again only when its body was read.
+    // The connection can be reused only after the body has been read.
     let body = http_body_util::Limited::new(response.into_body(), REFUSAL_LIMIT);
     let _ = body.collect().await;
     (AttemptEnd::Refused(refused), None)
@@ -202,8 +205,8 @@
     }
 }
 
-/// Asks the agent of a lost attempt whether it began. Only the agent's word that it did not, and
-/// never will, makes the verdict certain.
+/// Withdraws a lost attempt. The request is known not to have run only if the agent confirms that
+/// the attempt has not started and never will.
 async fn withdraw(state: &ServeContext, order: &AttemptOrder) -> AttemptEnd {
     let Some(control) = find_control(state, &order.host).await else {
         return AttemptEnd::Lost;
@@ -220,13 +223,14 @@
     }
 }
 
-/// The control address of a host.
+/// Returns the address for control calls to a host's agent, if the host is known.
 pub async fn find_control(state: &ServeContext, host: &str) -> Option<String> {
     let (sender, receiver) = oneshot::channel();
     state.ring.offer(EntryInput::FindControl(host.to_string(), sender)).ok()?;
     receiver.await.ok()?
 }
 
+/// Builds the HTTP request of an attempt; `left` is the time to the deadline.
 fn agent_request(
     outgoing: &OutgoingRequest,
     order: &AttemptOrder,
@@ -262,7 +266,7 @@
     request.body(Full::new(outgoing.body.clone()))
 }
 
-/// Passes an upstream's answer to the caller.
+/// Forwards an upstream's response to the caller.
 fn answer(
     state: &ServeContext,
     outgoing: &OutgoingRequest,
@@ -292,7 +296,7 @@
     if let Some(waited) = parts.headers.get(headers::WAITED_MS) {
         answer.headers_mut().insert(headers::WAITED_MS, waited.clone());
     }
-    // A stream's verdict is known only at its end, which `[DONE]` or an error event tells.
+    // A stream's verdict is known only at its end, marked by `[DONE]` or by an error event.
     let verdict = match is_stream {
         true => RunVerdict::MayHaveRun,
         false => RunVerdict::Ran,
@@ -302,7 +306,7 @@
     with_request_id(Ok(answer), request)
 }
 
-/// The error event of a stream that broke off.
+/// Returns the error event for a stream that broke off, and nothing for any other end.
 fn stream_end(end: BodyEnd) -> Option<Bytes> {
     let refused = WorkRefusal::may_have_run(RefusalReason::UpstreamBroke);
     let body = refusal_body(&refused, explain(refused.reason));
