--- a/quillcove/src/entry/serve.rs
+++ b/quillcove/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! The callers' address of an entry.
+//! HTTP server for callers: completions, calls of plain services and routes, and tickets.
 
 use std::time::Duration;
 
@@ -26,18 +26,19 @@
 use crate::web::headers;
 use crate::web::server::{self, RestPath, register, register_any_method};
 
-/// Longest time for a ticket call.
+/// Timeout of a control call about tickets.
 const TICKET_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Owners asked for a ticket before a caller is told to come back.
+/// Agents tried for a ticket before the request is rejected with a retry time.
 const TICKET_TRIES: usize = 3;
 
-/// A new request's id; its low bits stay free for the number of the attempt.
+/// Returns a random ID of at most 120 bits for a new request; the machine shifts it up by 8 bits and
+/// puts the number of the attempt there.
 fn new_request() -> RequestId {
     rand::random::<u128>() >> 8
 }
 
-/// Answers a request that was not admitted.
+/// Returns the response to a request that was not admitted.
 fn reject(request: RequestId, error: &AdmitError) -> WebAnswer {
     let retry_after = match error.reason {
         RefusalReason::BundleMissing | RefusalReason::NoUpstream => Some(SOON),
@@ -47,7 +48,7 @@
     with_request_id(refusal(&refused, &error.message), request)
 }
 
-/// Reads a body within its time and size.
+/// Reads a request's body within the limits on its time and size.
 async fn read_body(
     state: &ServeContext,
     bundle: &FleetBundle,
@@ -121,7 +122,7 @@
 #[derive(Debug, Deserialize, JsonSchema)]
 struct ServicePath {
     service: String,
-    /// Read by [`server::rest_of`] instead, as it was sent.
+    /// Declared for the router only; [`server::rest_of`] reads the path undecoded, as it was sent.
     #[allow(dead_code)]
     path: Vec<String>,
 }
@@ -153,11 +154,11 @@
     outgoing_call(state, context, call, body, request).await
 }
 
-/// A call to a plain service, as admitted.
+/// An admitted call to a plain service.
 struct ServiceCall {
     service: ServiceName,
     terms: RequestTerms,
-    /// Segments of the path that are the entry's own and not the service's.
+    /// Leading path segments that belong to the entry and are not sent to the service.
     skipped: usize,
     is_stream: bool,
 }
@@ -205,7 +206,7 @@
     }
 }
 
-/// A call to the service that the bundle's route of its host and path leads to.
+/// Prepares a call to the service that the bundle's route for its host and path selects.
 async fn prepare_routed(
     state: &ServeContext,
     context: &RequestContext<ServeContext>,
@@ -228,7 +229,8 @@
     outgoing_call(state, context, call, body, request).await
 }
 
-/// Without a header, calls that HTTP calls idempotent may be repeated and others may not.
+/// Returns the rule for calls without a `Quillcove-Repeatable` header: those of an idempotent HTTP
+/// method may be repeated, all others may not.
 fn default_repeat(method: &Method) -> RepeatRule {
     match method.is_idempotent() {
         true => RepeatRule::Repeatable,
@@ -254,13 +256,13 @@
     with_request_id(json_answer(&json!({ "object": "list", "data": models })), request)
 }
 
-/// Path of a wish for a ticket.
+/// Path of a request for a ticket.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct TicketPath {
     service: String,
 }
 
-/// Gets a ticket from one of the service's agents, drawn anew for each.
+/// Issues a ticket from one of the service's agents, chosen at random for each request.
 async fn issue_ticket(context: RequestContext<ServeContext>, path: Path<TicketPath>) -> WebAnswer {
     let state = context.context();
     let request = new_request();
@@ -285,7 +287,7 @@
     reject(request, &AdmitError { reason, message: explain(reason).to_string() })
 }
 
-/// Control addresses of a few live agents of a service, in an order drawn anew.
+/// Returns the control addresses of up to [`TICKET_TRIES`] live agents of a service, in random order.
 fn ticket_issuers(state: &ServeContext, service: &str) -> Vec<String> {
     let hosts = state.shelf.hosts();
     let target = RouteTarget::Service(service.to_string());
@@ -297,7 +299,7 @@
     controls
 }
 
-/// Path of a question about a ticket.
+/// Path of a query for the state of a ticket.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct TicketStatePath {
     ticket: String,
