--- a/quillcove/src/entry/admit.rs
+++ b/quillcove/src/entry/admit.rs
@@ -21,10 +21,10 @@
 use crate::web::headers;
 
 /// Longest caller name, ticket or idempotency key, in bytes.
-const TEXT_LIMIT: usize = 256;
+const HEADER_TEXT_LIMIT_BYTES: usize = 256;
 
 /// Bytes at the start of a prompt that are hashed to prefer an engine with a cached prefix.
-const PREFIX_BYTES: usize = 256;
+const PREFIX_HASH_BYTES: usize = 256;
 
 /// Error of a request that is not admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,10 +43,10 @@
 
 /// Options that a request's headers set.
 #[derive(Clone, Debug)]
-pub struct RequestTerms {
+pub struct RequestOptions {
     pub class: WorkClass,
     pub repeat: RepeatRule,
-    pub limit: Duration,
+    pub timeout: Duration,
     pub caller: String,
     pub ticket: Option<String>,
     pub key: Option<String>,
@@ -56,12 +56,12 @@
 
 /// Parses the `Quillcove-*` headers and the idempotency key. `default` applies if the request does
 /// not say whether it may be repeated.
-pub fn read_terms(
+pub fn parse_options(
     headers: &HeaderMap,
     default: RepeatRule,
     section: &RequestSection,
-) -> Result<RequestTerms, AdmitError> {
-    let class = read_class(headers)?;
+) -> Result<RequestOptions, AdmitError> {
+    let class = parse_priority(headers)?;
     let repeat = match headers::text(headers, headers::REPEATABLE) {
         None => default,
         Some("no") => RepeatRule::Once,
@@ -71,20 +71,20 @@
             return Err(AdmitError::bad(message));
         },
     };
-    let limit = match (headers.contains_key(headers::DEADLINE_MS), class) {
+    let timeout = match (headers.contains_key(headers::DEADLINE_MS), class) {
         (false, WorkClass::Batch) => section.batch_deadline,
         (false, _) => section.deadline,
         (true, _) => headers::millis(headers, headers::DEADLINE_MS).ok_or_else(|| {
             AdmitError::bad("Quillcove-Deadline-Ms is not a whole number of milliseconds")
         })?,
     };
-    Ok(RequestTerms {
+    Ok(RequestOptions {
         class,
         repeat,
-        limit: limit.min(section.deadline_limit),
-        caller: short_text(headers, headers::CALLER)?.unwrap_or_default(),
-        ticket: short_text(headers, headers::TICKET)?,
-        key: short_text(headers, headers::IDEMPOTENCY_KEY)?,
+        timeout: timeout.min(section.deadline_limit),
+        caller: bounded_text(headers, headers::CALLER)?.unwrap_or_default(),
+        ticket: bounded_text(headers, headers::TICKET)?,
+        key: bounded_text(headers, headers::IDEMPOTENCY_KEY)?,
         attempt_limit: None,
     })
 }
@@ -92,28 +92,28 @@
 /// Parses the headers of a request that matched a route. The route's settings override the caller's
 /// where they conflict: a request that may run only once is not repeated, and no request is held
 /// longer than the route's timeout.
-pub fn read_route_terms(
+pub fn parse_route_options(
     headers: &HeaderMap,
     route: &RouteRecord,
     section: &RequestSection,
-) -> Result<RequestTerms, AdmitError> {
+) -> Result<RequestOptions, AdmitError> {
     let default = match route.kind.is_repeatable() {
         true => RepeatRule::Repeatable,
         false => RepeatRule::Once,
     };
-    let mut terms = read_terms(headers, default, section)?;
+    let mut options = parse_options(headers, default, section)?;
     if default == RepeatRule::Once {
-        terms.repeat = RepeatRule::Once;
+        options.repeat = RepeatRule::Once;
     }
     if !headers.contains_key(headers::PRIORITY) {
-        terms.class = route.class();
+        options.class = route.class();
     }
-    terms.limit = terms.limit.min(route.timeout);
-    terms.attempt_limit = Some(route.attempt_limit);
-    Ok(terms)
+    options.timeout = options.timeout.min(route.timeout);
+    options.attempt_limit = Some(route.attempt_limit);
+    Ok(options)
 }
 
-fn read_class(headers: &HeaderMap) -> Result<WorkClass, AdmitError> {
+fn parse_priority(headers: &HeaderMap) -> Result<WorkClass, AdmitError> {
     let Some(label) = headers::text(headers, headers::PRIORITY) else {
         return Ok(WorkClass::default());
     };
@@ -124,21 +124,21 @@
     })
 }
 
-fn short_text(headers: &HeaderMap, name: &str) -> Result<Option<String>, AdmitError> {
+fn bounded_text(headers: &HeaderMap, name: &str) -> Result<Option<String>, AdmitError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     match value.to_str() {
-        Ok(text) if text.len() <= TEXT_LIMIT => Ok(Some(text.to_string())),
+        Ok(text) if text.len() <= HEADER_TEXT_LIMIT_BYTES => Ok(Some(text.to_string())),
         _ => Err(AdmitError::bad(format!(
-            "header {name} is not a text of at most {TEXT_LIMIT} characters"
+            "header {name} is not a text of at most {HEADER_TEXT_LIMIT_BYTES} characters"
         ))),
     }
 }
 
 /// Fields of a completion request that routing needs.
 #[derive(serde::Deserialize)]
-struct CompletionHead<'a> {
+struct CompletionFields<'a> {
     model: String,
     #[serde(default)]
     stream: bool,
@@ -162,12 +162,12 @@
 
 /// Parses a completion request and resolves its model to an adapter version, which all attempts of
 /// the request use.
-pub fn read_completion(
+pub fn parse_completion(
     body: &Bytes,
     class: WorkClass,
     bundle: &FleetBundle,
 ) -> Result<AdmittedCompletion, AdmitError> {
-    let head: CompletionHead<'_> =
+    let head: CompletionFields<'_> =
         serde_json::from_slice(body).map_err(|error| AdmitError::bad(format!("body: {error}")))?;
     let adapter = bundle.resolve(&head.model).map_err(|error| AdmitError {
         reason: RefusalReason::Unknown,
@@ -176,7 +176,7 @@
     let model = bundle.model_of(&adapter).unwrap_or_default().to_string();
     let prompt = head.prompt.or(head.messages).map(RawValue::get);
     let prefix = prompt.map(|text| {
-        let end = text.len().min(PREFIX_BYTES);
+        let end = text.len().min(PREFIX_HASH_BYTES);
         let start = String::from_utf8_lossy(&text.as_bytes()[..end]);
         rendezvous::weight(&adapter.to_string(), &start)
     });
@@ -198,27 +198,27 @@
 /// Returns the host that owns a request which must run at most once: the issuer of its ticket, or
 /// the first of the bundle's replicas by rendezvous hashing of the caller and the idempotency key.
 /// Returns `None` for a repeatable request and for one with neither ticket nor key.
-pub fn owner_of(
-    terms: &RequestTerms,
+pub fn owner_target(
+    options: &RequestOptions,
     service: &str,
     bundle: &FleetBundle,
 ) -> Result<Option<RouteTarget>, AdmitError> {
-    if terms.repeat == RepeatRule::Repeatable {
+    if options.repeat == RepeatRule::Repeatable {
         return Ok(None);
     }
-    if let Some(ticket) = &terms.ticket {
+    if let Some(ticket) = &options.ticket {
         let ticket = RunTicket::peek(ticket).ok_or(AdmitError {
             reason: RefusalReason::BadRequest,
             message: "Quillcove-Ticket can not be read".to_string(),
         })?;
         return Ok(Some(RouteTarget::Owner(ticket.owner)));
     }
-    let Some(key) = &terms.key else {
+    let Some(key) = &options.key else {
         return Ok(None);
     };
     let replicas = bundle.services.get(service).map(|entry| entry.replicas.as_slice());
     let names = replicas.unwrap_or_default().iter().map(String::as_str);
-    let key = format!("{}\n{key}", terms.caller);
+    let key = format!("{}\n{key}", options.caller);
     match rendezvous::first(&key, names) {
         Some(owner) => Ok(Some(RouteTarget::Owner(owner.to_string()))),
         None => Err(AdmitError {
@@ -231,29 +231,29 @@
 }
 
 /// Builds the routing query of a request, with its deadline counted from `now`.
-pub fn query(
+pub fn build_query(
     request: RequestId,
     target: RouteTarget,
-    terms: &RequestTerms,
+    options: &RequestOptions,
     prefix: Option<u64>,
     now: MonoTime,
 ) -> RouteQuery {
     RouteQuery {
         request,
         target,
-        class: terms.class,
-        repeat: terms.repeat,
-        deadline: now + terms.limit,
-        caller: terms.caller.clone(),
+        class: options.class,
+        repeat: options.repeat,
+        deadline: now + options.timeout,
+        caller: options.caller.clone(),
         prefix,
-        attempt_limit: terms.attempt_limit,
+        attempt_limit: options.attempt_limit,
         identity: None,
     }
 }
 
 /// Returns the digest of the caller's name, or of its address if the request names no caller.
-pub fn caller_of(terms: &RequestTerms, address: IpAddr) -> CallerDigest {
-    match terms.caller.as_str() {
+pub fn caller_of(options: &RequestOptions, address: IpAddr) -> CallerDigest {
+    match options.caller.as_str() {
         "" => caller_digest(address),
         name => named_caller_digest(name),
     }
--- a/quillcove/src/entry/attempt.rs
+++ b/quillcove/src/entry/attempt.rs
@@ -1,5 +1,5 @@
-//! Handling of one request: makes attempts at agents until one responds or the state machine rejects
-//! the request.
+//! Handling of one request: makes attempts at agents until one responds or the state machine
+//! rejects the request.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -20,9 +20,9 @@
 use quillcove_core::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
 use tokio::sync::{mpsc, oneshot};
 
-use super::admit::{self, RequestTerms};
+use super::admit::{self, RequestOptions};
 use super::context::ServeContext;
-use super::decide::{EntryInput, RequestStep, STEP_PLACES};
+use super::decide::{EntryInput, RequestStep, STEP_QUEUE_CAPACITY};
 use crate::control::AgentControlClient;
 use crate::duty::DutyRing;
 use crate::web::answer::{WebAnswer, explain, internal, refusal, refusal_body};
@@ -34,15 +34,15 @@
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time after a request's deadline at which an attempt without a response counts as lost.
-const ANSWER_MARGIN: Duration = Duration::from_millis(200);
+const RESPONSE_GRACE: Duration = Duration::from_millis(200);
 
 /// Largest body of an agent's refusal that is read, in bytes.
-const REFUSAL_LIMIT: usize = 64 << 10;
+const REFUSAL_BODY_LIMIT_BYTES: usize = 64 << 10;
 
 /// A request as it is sent to agents.
 pub struct OutgoingRequest {
     pub query: RouteQuery,
-    pub terms: RequestTerms,
+    pub options: RequestOptions,
     pub method: Method,
     /// Path and query string at the upstream, without a leading slash.
     pub path: String,
@@ -57,7 +57,7 @@
 impl OutgoingRequest {
     /// Adds the request's identity: the digest of its content and that of its caller. `address`
     /// identifies a caller that gives no name.
-    pub fn identified(mut self, address: IpAddr) -> Self {
+    pub fn with_identity(mut self, address: IpAddr) -> Self {
         let parts = RequestParts {
             method: self.method.as_str(),
             host: "",
@@ -65,7 +65,7 @@
             key: None,
             body: &self.body,
         };
-        let caller = admit::caller_of(&self.terms, address);
+        let caller = admit::caller_of(&self.options, address);
         self.query.identity = Some(RequestIdentity { digest: parts.digest(), caller });
         self
     }
@@ -84,14 +84,14 @@
 }
 
 /// Records the duration and outcome of one request in the metrics.
-struct RequestWatch {
+struct RequestTimer {
     state: ServeContext,
     class: WorkClass,
     started: MonoTime,
 }
 
-impl RequestWatch {
-    fn finished(&self, verdict: RunVerdict) {
+impl RequestTimer {
+    fn record_finish(&self, verdict: RunVerdict) {
         let took = self.state.clock.now().saturating_sub(self.started);
         self.state.metrics.finished(verdict, self.class, took);
     }
@@ -100,43 +100,43 @@
 /// Makes attempts as the state machine orders them and returns the response to the caller.
 pub async fn run(state: &ServeContext, outgoing: OutgoingRequest) -> WebAnswer {
     let request = outgoing.query.request;
-    let (sender, mut steps) = mpsc::channel(STEP_PLACES);
-    let watch = RequestWatch {
+    let (sender, mut steps) = mpsc::channel(STEP_QUEUE_CAPACITY);
+    let timer = RequestTimer {
         state: state.clone(),
         class: outgoing.query.class,
         started: state.clock.now(),
     };
     let input = EntryInput::Request(outgoing.query.clone(), sender);
     if state.ring.offer(input).is_err() {
-        return give_up(&watch, request, &WorkRefusal::overloaded());
+        return respond_refused(&timer, request, &WorkRefusal::overloaded());
     }
     let guard = RequestGuard { ring: state.ring.clone(), request };
     let mut is_first = true;
     while let Some(step) = steps.recv().await {
         let order = match step {
-            RequestStep::Finish(refused) => return give_up(&watch, request, &refused),
+            RequestStep::Finish(refused) => return respond_refused(&timer, request, &refused),
             RequestStep::Send(order) => order,
         };
         state.metrics.attempted(is_first);
         is_first = false;
         let (end, response) = attempt(state, &outgoing, &order).await;
-        tell(state, EntryEvent::AttemptEnded(order.attempt, end));
+        notify_machine(state, EntryEvent::AttemptEnded(order.attempt, end));
         if let Some(response) = response {
-            return answer(state, &outgoing, response, watch, guard);
+            return forward_response(state, &outgoing, response, timer, guard);
         }
     }
-    let gone = WorkRefusal::may_have_run(RefusalReason::Leaving);
-    give_up(&watch, request, &gone)
+    let stopping = WorkRefusal::may_have_run(RefusalReason::Leaving);
+    respond_refused(&timer, request, &stopping)
 }
 
-fn tell(state: &ServeContext, event: EntryEvent) {
+fn notify_machine(state: &ServeContext, event: EntryEvent) {
     state.ring.put(EntryInput::Event(event));
 }
 
 /// Records a refusal and returns it as the response to the caller.
-fn give_up(watch: &RequestWatch, request: RequestId, refused: &WorkRefusal) -> WebAnswer {
-    watch.state.metrics.refused(refused.reason, watch.class);
-    watch.finished(refused.verdict);
+fn respond_refused(timer: &RequestTimer, request: RequestId, refused: &WorkRefusal) -> WebAnswer {
+    timer.state.metrics.refused(refused.reason, timer.class);
+    timer.record_finish(refused.verdict);
     with_request_id(refusal(refused, explain(refused.reason)), request)
 }
 
@@ -154,15 +154,15 @@
     outgoing: &OutgoingRequest,
     order: &AttemptOrder,
 ) -> (AttemptEnd, Option<Response<Incoming>>) {
-    let left = outgoing.query.deadline.saturating_sub(state.clock.now());
-    let request = match agent_request(outgoing, order, left) {
+    let remaining = outgoing.query.deadline.saturating_sub(state.clock.now());
+    let request = match build_agent_request(outgoing, order, remaining) {
         Ok(request) => request,
         Err(_) => return (AttemptEnd::Unreachable, None),
     };
     let exchange = state.client.send(request);
-    let exchange = tokio::time::timeout(left + ANSWER_MARGIN, exchange).await;
+    let exchange = tokio::time::timeout(remaining + RESPONSE_GRACE, exchange).await;
     match exchange {
-        Ok(Ok(response)) => sort_answer(state, order, response).await,
+        Ok(Ok(response)) => classify_response(state, order, response).await,
         Ok(Err(WebError::NotSent(_))) => (AttemptEnd::Unreachable, None),
         Ok(Err(WebError::Lost(_) | WebError::Status(_))) | Err(_) => {
             (withdraw(state, order).await, None)
@@ -172,14 +172,14 @@
 
 /// Distinguishes an agent's refusal from an upstream's response, and passes on the state that the
 /// agent reports about itself in a header.
-async fn sort_answer(
+async fn classify_response(
     state: &ServeContext,
     order: &AttemptOrder,
     response: Response<Incoming>,
 ) -> (AttemptEnd, Option<Response<Incoming>>) {
     let news = headers::text(response.headers(), headers::NEWS);
     if let Some(news) = news.and_then(|text| serde_json::from_str::<AgentNews>(text).ok()) {
-        tell(state, EntryEvent::Heard(order.host.clone(), news));
+        notify_machine(state, EntryEvent::Heard(order.host.clone(), news));
     }
     if !response.headers().contains_key(headers::REFUSED) {
         return match response.headers().contains_key(headers::VERDICT) {
@@ -188,14 +188,14 @@
             false => (AttemptEnd::Lost, None),
         };
     }
-    let refused = read_refusal(response.headers());
+    let refused = parse_refusal(response.headers());
     // The connection can be reused only after the body has been read.
-    let body = http_body_util::Limited::new(response.into_body(), REFUSAL_LIMIT);
+    let body = http_body_util::Limited::new(response.into_body(), REFUSAL_BODY_LIMIT_BYTES);
     let _ = body.collect().await;
     (AttemptEnd::Refused(refused), None)
 }
 
-fn read_refusal(headers: &HeaderMap) -> WorkRefusal {
+fn parse_refusal(headers: &HeaderMap) -> WorkRefusal {
     let reason = headers::text(headers, headers::REASON).and_then(RefusalReason::from_label);
     let verdict = headers::text(headers, headers::VERDICT).and_then(RunVerdict::from_label);
     WorkRefusal {
@@ -208,14 +208,14 @@
 /// Withdraws a lost attempt. The request is known not to have run only if the agent confirms that
 /// the attempt has not started and never will.
 async fn withdraw(state: &ServeContext, order: &AttemptOrder) -> AttemptEnd {
-    let Some(control) = find_control(state, &order.host).await else {
+    let Some(control) = find_control_address(state, &order.host).await else {
         return AttemptEnd::Lost;
     };
     let (attempt, incarnation) = (order.attempt, order.incarnation);
-    let withdrawn = |client: AgentControlClient, context| async move {
+    let send_withdrawal = |client: AgentControlClient, context| async move {
         client.withdraw(context, attempt, incarnation).await
     };
-    match state.pool.call(&control, WITHDRAW_TIMEOUT, withdrawn).await {
+    match state.pool.call(&control, WITHDRAW_TIMEOUT, send_withdrawal).await {
         Ok(WithdrawAnswer::NotRun) => {
             AttemptEnd::Refused(WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SOON)))
         },
@@ -224,19 +224,19 @@
 }
 
 /// Returns the address for control calls to a host's agent, if the host is known.
-pub async fn find_control(state: &ServeContext, host: &str) -> Option<String> {
+pub async fn find_control_address(state: &ServeContext, host: &str) -> Option<String> {
     let (sender, receiver) = oneshot::channel();
     state.ring.offer(EntryInput::FindControl(host.to_string(), sender)).ok()?;
     receiver.await.ok()?
 }
 
-/// Builds the HTTP request of an attempt; `left` is the time to the deadline.
-fn agent_request(
+/// Builds the HTTP request of an attempt; `remaining` is the time to the deadline.
+fn build_agent_request(
     outgoing: &OutgoingRequest,
     order: &AttemptOrder,
-    left: Duration,
+    remaining: Duration,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
-    let terms = &outgoing.terms;
+    let options = &outgoing.options;
     let uri = format!("http://{}/run/{}", order.address, outgoing.path);
     let mut request = Request::builder().method(outgoing.method.clone()).uri(uri);
     if let Some(headers) = request.headers_mut() {
@@ -245,21 +245,21 @@
     request = request
         .header(headers::ATTEMPT, format!("{:x}", order.attempt))
         .header(headers::INCARNATION, format!("{:x}", order.incarnation))
-        .header(headers::DEADLINE_MS, left.as_millis() as u64)
-        .header(headers::PRIORITY, terms.class.label())
-        .header(headers::CALLER, terms.caller.as_str());
+        .header(headers::DEADLINE_MS, remaining.as_millis() as u64)
+        .header(headers::PRIORITY, options.class.label())
+        .header(headers::CALLER, options.caller.as_str());
     if let Some(identity) = &outgoing.query.identity {
         request = request.header(headers::IDENTITY, identity.to_string());
     }
     if let Some(adapter) = &outgoing.adapter {
         request = request.header(headers::ADAPTER, adapter.to_string());
     }
-    if terms.repeat == RepeatRule::Once {
+    if options.repeat == RepeatRule::Once {
         request = request.header(headers::REPEATABLE, "no");
-        if let Some(ticket) = &terms.ticket {
+        if let Some(ticket) = &options.ticket {
             request = request.header(headers::TICKET, ticket.as_str());
         }
-        if let Some(key) = &terms.key {
+        if let Some(key) = &options.key {
             request = request.header(headers::KEY, key.as_str());
         }
     }
@@ -267,27 +267,27 @@
 }
 
 /// Forwards an upstream's response to the caller.
-fn answer(
+fn forward_response(
     state: &ServeContext,
     outgoing: &OutgoingRequest,
     response: Response<Incoming>,
-    watch: RequestWatch,
+    timer: RequestTimer,
     guard: RequestGuard,
 ) -> WebAnswer {
-    let took = state.clock.now().saturating_sub(watch.started);
-    state.metrics.answered(watch.class, took);
+    let took = state.clock.now().saturating_sub(timer.started);
+    state.metrics.answered(timer.class, took);
     let request = outgoing.query.request;
     let is_stream = outgoing.is_stream && response.status() == StatusCode::OK;
     let (parts, incoming) = response.into_parts();
     let body = WatchedBody::new(incoming, move |end| {
-        watch.finished(match end {
+        timer.record_finish(match end {
             BodyEnd::Whole => RunVerdict::Ran,
             BodyEnd::Broken | BodyEnd::Dropped => RunVerdict::MayHaveRun,
         });
         drop(guard);
     });
     let body = match is_stream {
-        true => body.ending_with(stream_end),
+        true => body.ending_with(broken_stream_event),
         false => body,
     };
     let mut answer = Response::new(Body::wrap(body));
@@ -307,7 +307,7 @@
 }
 
 /// Returns the error event for a stream that broke off, and nothing for any other end.
-fn stream_end(end: BodyEnd) -> Option<Bytes> {
+fn broken_stream_event(end: BodyEnd) -> Option<Bytes> {
     let refused = WorkRefusal::may_have_run(RefusalReason::UpstreamBroke);
     let body = refusal_body(&refused, explain(refused.reason));
     (end == BodyEnd::Broken).then(|| Bytes::from(format!("\n\nevent: error\ndata: {body}\n\n")))
--- a/quillcove/src/entry/context.rs
+++ b/quillcove/src/entry/context.rs
@@ -18,7 +18,7 @@
 use crate::web::client::WebClient;
 
 /// Time after which unused connections to agents are closed.
-const IDLE_TIME: Duration = Duration::from_secs(30);
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Settings, queues and clients that the request handlers share.
 #[derive(Clone)]
@@ -40,7 +40,7 @@
         clock: MonoClock,
         metrics: Arc<ProcessMetrics>,
     ) -> Self {
-        let client = WebClient::new(settings.requests.connect_timeout, IDLE_TIME);
+        let client = WebClient::new(settings.requests.connect_timeout, IDLE_CONNECTION_TIMEOUT);
         Self { settings, ring, shelf, clock, metrics, client, pool: ControlPool::default() }
     }
 
@@ -50,10 +50,10 @@
     ///
     /// Returns [`RefusalReason::BundleMissing`] if no bundle has been received yet.
     pub fn bundle(&self) -> Result<Arc<FleetBundle>, AdmitError> {
-        let held = self.shelf.bundle().ok_or_else(|| AdmitError {
+        let active = self.shelf.bundle().ok_or_else(|| AdmitError {
             reason: RefusalReason::BundleMissing,
             message: explain(RefusalReason::BundleMissing).to_string(),
         })?;
-        Ok(held.content)
+        Ok(active.content)
     }
 }
--- a/quillcove/src/entry/decide.rs
+++ b/quillcove/src/entry/decide.rs
@@ -20,7 +20,7 @@
 use crate::process::note_ready;
 
 /// Capacity of the step queue of a request's handler, which never has more than one step pending.
-pub const STEP_PLACES: usize = 4;
+pub const STEP_QUEUE_CAPACITY: usize = 4;
 
 /// Input of the `decide` thread.
 pub enum EntryInput {
@@ -49,31 +49,31 @@
 pub struct DecideDuty {
     pub machine: EntryMachine,
     pub clock: MonoClock,
-    pub watch_asks: mpsc::Sender<WatchAsk>,
+    pub watch_requests: mpsc::Sender<WatchAsk>,
     pub halt: watch::Sender<bool>,
     pub is_ready: Arc<AtomicBool>,
-    pub callers: HashMap<RequestId, mpsc::Sender<RequestStep>>,
+    pub step_senders: HashMap<RequestId, mpsc::Sender<RequestStep>>,
     pub log: Logger,
 }
 
 impl DecideDuty {
     /// Starts the thread, which handles its inputs and a tick of the machine each `tick`.
     pub fn spawn(mut self, inputs: Receiver<EntryInput>, tick: Duration) -> JoinHandle<()> {
-        duty::start("decide", inputs, tick, move |input| self.take(input))
+        duty::start("decide", inputs, tick, move |input| self.process_input(input))
     }
 
     /// Handles one input, or a tick if there is none; returns whether the thread goes on.
-    fn take(&mut self, input: Option<EntryInput>) -> bool {
+    fn process_input(&mut self, input: Option<EntryInput>) -> bool {
         match input {
             None => self.handle(EntryEvent::Ticked),
             Some(EntryInput::Event(event)) => {
                 if let EntryEvent::Done(request) = event {
-                    self.callers.remove(&request);
+                    self.step_senders.remove(&request);
                 }
                 self.handle(event);
             },
             Some(EntryInput::Request(query, steps)) => {
-                self.callers.insert(query.request, steps);
+                self.step_senders.insert(query.request, steps);
                 self.handle(EntryEvent::Admitted(query));
             },
             Some(EntryInput::FindControl(host, answer)) => {
@@ -91,26 +91,26 @@
         let mut actions = Vec::new();
         self.machine.handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         note_ready(&self.is_ready, self.machine.is_ready(), &self.log);
     }
 
-    fn carry_out(&mut self, action: EntryAction) {
+    fn execute(&mut self, action: EntryAction) {
         match action {
             EntryAction::Send(order) => {
                 let request = order.request;
-                self.step(request, RequestStep::Send(order));
+                self.send_step(request, RequestStep::Send(order));
             },
             EntryAction::Finish(request, refusal) => {
-                self.step(request, RequestStep::Finish(refusal));
-                self.callers.remove(&request);
+                self.send_step(request, RequestStep::Finish(refusal));
+                self.step_senders.remove(&request);
             },
             EntryAction::ReadHosts => {
-                let _ = self.watch_asks.try_send(WatchAsk::ReadHosts);
+                let _ = self.watch_requests.try_send(WatchAsk::ReadHosts);
             },
             EntryAction::SeekBundle => {
-                let _ = self.watch_asks.try_send(WatchAsk::SeekBundle);
+                let _ = self.watch_requests.try_send(WatchAsk::SeekBundle);
             },
             EntryAction::Stopped => {
                 info!(self.log, "entry stopped");
@@ -121,8 +121,8 @@
 
     /// Sends a step to a request's handler. A handler that has ended needs none: its guard reports
     /// the request as done.
-    fn step(&mut self, request: RequestId, step: RequestStep) {
-        if let Some(steps) = self.callers.get(&request) {
+    fn send_step(&mut self, request: RequestId, step: RequestStep) {
+        if let Some(steps) = self.step_senders.get(&request) {
             let _ = steps.try_send(step);
         }
     }
--- a/quillcove/src/entry/mod.rs
+++ b/quillcove/src/entry/mod.rs
@@ -33,13 +33,13 @@
 use crate::process::{DumpInspector, ProcessHandle, close_when_halted};
 
 /// Capacity of the event queue of the `decide` thread.
-const RING_PLACES: usize = 8192;
+const EVENT_QUEUE_CAPACITY: usize = 8192;
 
 /// Capacity of the request queue of the `watch` thread.
-const ASK_PLACES: usize = 64;
+const WATCH_QUEUE_CAPACITY: usize = 64;
 
 /// Interval between ticks of the state machine.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running entry.
 pub struct EntryProcess {
@@ -71,18 +71,18 @@
         let settings = Arc::new(settings);
         let metrics = Arc::new(ProcessMetrics::new("entry")?);
         let shelf = FleetShelf::default();
-        let (ring, inputs) = DutyRing::new(RING_PLACES);
-        let (watch_asks, watch_receiver) = mpsc::channel(ASK_PLACES);
+        let (ring, inputs) = DutyRing::new(EVENT_QUEUE_CAPACITY);
+        let (watch_requests, watch_receiver) = mpsc::channel(WATCH_QUEUE_CAPACITY);
         let (halt, halted) = watch::channel(false);
         let is_ready = Arc::new(AtomicBool::new(false));
 
         let decide = DecideDuty {
             machine: EntryMachine::new(settings.rules(), rand::random(), clock.now()),
             clock,
-            watch_asks,
+            watch_requests,
             halt: halt.clone(),
             is_ready: is_ready.clone(),
-            callers: Default::default(),
+            step_senders: Default::default(),
             log: log.clone(),
         };
         let serve = ServeContext::new(
@@ -99,7 +99,7 @@
         };
 
         let (bound_sender, bound) = std::sync::mpsc::channel();
-        let mut threads = vec![decide.spawn(inputs, TICK)];
+        let mut threads = vec![decide.spawn(inputs, TICK_INTERVAL)];
         let workers = settings.listen.threads;
         let halted_serve = halted.clone();
         let serve_log = log.clone();
@@ -107,9 +107,10 @@
             let run = run_servers(serve, inspector, bound_sender, halted_serve, serve_log);
             duty::run_async(workers, run);
         }));
-        let (callers, operator) = bound.recv().wrap_err("the serving duty ended")??;
+        let (callers, operator) =
+            bound.recv().wrap_err("the serve thread ended before its servers were bound")??;
         let watch_ring = ring.clone();
-        let notify = move |news| tell_machine(&watch_ring, news);
+        let notify = move |update| forward_update(&watch_ring, update);
         let platform = HttpPlatform::new(settings.platform.address, settings.platform.timeout);
         let sections = (settings.platform.clone(), settings.bundle.clone());
         let watch = FleetWatch::new(platform, sections, None, shelf, log.clone(), notify);
@@ -190,8 +191,8 @@
 }
 
 /// Passes an update of the platform to the state machine.
-fn tell_machine(ring: &DutyRing<EntryInput>, news: WatchNews) {
-    let event = match news {
+fn forward_update(ring: &DutyRing<EntryInput>, update: WatchNews) {
+    let event = match update {
         WatchNews::Bundle(bundle) => EntryEvent::BundleTaken(bundle),
         WatchNews::Hosts(hosts) => EntryEvent::HostsSeen(hosts),
     };
--- a/quillcove/src/entry/serve.rs
+++ b/quillcove/src/entry/serve.rs
@@ -16,8 +16,8 @@
 use serde_json::json;
 use slog::Logger;
 
-use super::admit::{self, AdmitError, RequestTerms};
-use super::attempt::{self, OutgoingRequest, find_control, with_request_id};
+use super::admit::{self, AdmitError, RequestOptions};
+use super::attempt::{self, OutgoingRequest, find_control_address, with_request_id};
 use super::context::ServeContext;
 use crate::control::AgentControlClient;
 use crate::logging::quiet;
@@ -29,11 +29,11 @@
 /// Timeout of a control call about tickets.
 const TICKET_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Agents tried for a ticket before the request is rejected with a retry time.
-const TICKET_TRIES: usize = 3;
+/// Most agents tried for a ticket before the request is rejected with a retry time.
+const TICKET_AGENT_LIMIT: usize = 3;
 
-/// Returns a random ID of at most 120 bits for a new request; the machine shifts it up by 8 bits and
-/// puts the number of the attempt there.
+/// Returns a random ID of at most 120 bits for a new request. An attempt's ID is that of its
+/// request with the number of the attempt in 8 further low bits.
 fn new_request() -> RequestId {
     rand::random::<u128>() >> 8
 }
@@ -96,26 +96,26 @@
     path: &str,
     request: RequestId,
 ) -> Result<OutgoingRequest, AdmitError> {
-    let given = context.request.headers();
+    let request_headers = context.request.headers();
     let section = &state.settings.requests;
-    let terms = admit::read_terms(given, RepeatRule::Repeatable, section)?;
+    let options = admit::parse_options(request_headers, RepeatRule::Repeatable, section)?;
     let bundle = state.bundle()?;
     let body = read_body(state, &bundle, body).await?;
-    let completion = admit::read_completion(&body, terms.class, &bundle)?;
+    let completion = admit::parse_completion(&body, options.class, &bundle)?;
     let adapter = completion.adapter.clone();
     let target = RouteTarget::Adapter { adapter, model: completion.model };
     let now = state.clock.now();
     let outgoing = OutgoingRequest {
-        query: admit::query(request, target, &terms, completion.prefix, now),
-        terms,
+        query: admit::build_query(request, target, &options, completion.prefix, now),
+        options,
         method: Method::POST,
         path: path.to_string(),
-        headers: headers::passed(given),
+        headers: headers::passed(request_headers),
         is_stream: completion.is_stream,
         body: completion.body,
         adapter: Some(completion.adapter),
     };
-    Ok(outgoing.identified(context.request.remote_addr().ip()))
+    Ok(outgoing.with_identity(context.request.remote_addr().ip()))
 }
 
 /// Path of a call to a plain service.
@@ -147,19 +147,20 @@
     body: StreamingBody,
     request: RequestId,
 ) -> Result<OutgoingRequest, AdmitError> {
-    let given = context.request.headers();
+    let request_headers = context.request.headers();
     let default = default_repeat(context.request.method());
-    let terms = admit::read_terms(given, default, &state.settings.requests)?;
-    let call = ServiceCall { service: path.service, terms, skipped: 2, is_stream: false };
+    let options = admit::parse_options(request_headers, default, &state.settings.requests)?;
+    let call =
+        ServiceCall { service: path.service, options, skipped_segments: 2, is_stream: false };
     outgoing_call(state, context, call, body, request).await
 }
 
 /// An admitted call to a plain service.
 struct ServiceCall {
     service: ServiceName,
-    terms: RequestTerms,
+    options: RequestOptions,
     /// Leading path segments that belong to the entry and are not sent to the service.
-    skipped: usize,
+    skipped_segments: usize,
     is_stream: bool,
 }
 
@@ -172,25 +173,25 @@
 ) -> Result<OutgoingRequest, AdmitError> {
     let bundle = state.bundle()?;
     let body = read_body(state, &bundle, body).await?;
-    let ServiceCall { service, terms, skipped, is_stream } = call;
+    let ServiceCall { service, options, skipped_segments, is_stream } = call;
     if !bundle.services.contains_key(&service) {
         let message = format!("the bundle has no service '{service}'");
         return Err(AdmitError { reason: RefusalReason::Unknown, message });
     }
-    let owner = admit::owner_of(&terms, &service, &bundle)?;
+    let owner = admit::owner_target(&options, &service, &bundle)?;
     let target = owner.unwrap_or(RouteTarget::Service(service));
     let now = state.clock.now();
     let outgoing = OutgoingRequest {
-        query: admit::query(request, target, &terms, None, now),
-        terms,
+        query: admit::build_query(request, target, &options, None, now),
+        options,
         method: context.request.method().clone(),
-        path: server::rest_of(context.request.uri(), skipped).to_string(),
+        path: server::rest_of(context.request.uri(), skipped_segments).to_string(),
         headers: headers::passed(context.request.headers()),
         body,
         adapter: None,
         is_stream,
     };
-    Ok(outgoing.identified(context.request.remote_addr().ip()))
+    Ok(outgoing.with_identity(context.request.remote_addr().ip()))
 }
 
 async fn call_route(
@@ -200,32 +201,32 @@
 ) -> WebAnswer {
     let state = context.context();
     let request = new_request();
-    match prepare_routed(state, &context, body, request).await {
+    match prepare_route_call(state, &context, body, request).await {
         Ok(outgoing) => attempt::run(state, outgoing).await,
         Err(error) => reject(request, &error),
     }
 }
 
 /// Prepares a call to the service that the bundle's route for its host and path selects.
-async fn prepare_routed(
+async fn prepare_route_call(
     state: &ServeContext,
     context: &RequestContext<ServeContext>,
     body: StreamingBody,
     request: RequestId,
 ) -> Result<OutgoingRequest, AdmitError> {
-    let given = context.request.headers();
+    let request_headers = context.request.headers();
     let unknown = |message| AdmitError { reason: RefusalReason::Unknown, message };
     let bundle = state.bundle()?;
-    let host = headers::text(given, "host").unwrap_or_default();
+    let host = headers::text(request_headers, "host").unwrap_or_default();
     let path = format!("/{}", server::rest_of(context.request.uri(), 1));
     let route = bundle.routes.find(host, &path);
     let route = route.ok_or_else(|| unknown(format!("no route for {host}{path}")))?;
-    let terms = admit::read_route_terms(given, route, &state.settings.requests)?;
+    let options = admit::parse_route_options(request_headers, route, &state.settings.requests)?;
     let service = route.draw_service(rand::random());
     let no_service = || unknown(format!("route '{}' leads to no service", route.name));
     let service = service.cloned().ok_or_else(no_service)?;
     let is_stream = route.kind.is_stream();
-    let call = ServiceCall { service, terms, skipped: 1, is_stream };
+    let call = ServiceCall { service, options, skipped_segments: 1, is_stream };
     outgoing_call(state, context, call, body, request).await
 }
 
@@ -276,9 +277,9 @@
         Err(error) => return reject(request, &error),
     }
     for control in ticket_issuers(state, &service) {
-        let issued =
+        let issue =
             |client: AgentControlClient, context| async move { client.issue_ticket(context).await };
-        if let Ok(Ok(ticket)) = state.pool.call(&control, TICKET_TIMEOUT, issued).await {
+        if let Ok(Ok(ticket)) = state.pool.call(&control, TICKET_TIMEOUT, issue).await {
             let answer = json_answer(&json!({ "object": "ticket", "ticket": ticket }));
             return with_request_id(answer, request);
         }
@@ -287,7 +288,8 @@
     reject(request, &AdmitError { reason, message: explain(reason).to_string() })
 }
 
-/// Returns the control addresses of up to [`TICKET_TRIES`] live agents of a service, in random order.
+/// Returns the control addresses of up to [`TICKET_AGENT_LIMIT`] live agents of a service in random
+/// order.
 fn ticket_issuers(state: &ServeContext, service: &str) -> Vec<String> {
     let hosts = state.shelf.hosts();
     let target = RouteTarget::Service(service.to_string());
@@ -295,7 +297,7 @@
     let mut controls: Vec<String> =
         hosts.iter().filter(fits).map(|record| record.control.clone()).collect();
     rand::seq::SliceRandom::shuffle(controls.as_mut_slice(), &mut rand::rng());
-    controls.truncate(TICKET_TRIES);
+    controls.truncate(TICKET_AGENT_LIMIT);
     controls
 }
 
@@ -317,13 +319,13 @@
         return reject(request, &AdmitError { reason: RefusalReason::BadRequest, message });
     };
     let unknown = WorkRefusal::may_have_run(RefusalReason::TicketUnknown);
-    let Some(control) = find_control(state, &ticket.owner).await else {
+    let Some(control) = find_control_address(state, &ticket.owner).await else {
         return with_request_id(refusal(&unknown, "the ticket's owner is not known"), request);
     };
-    let asked = |client: AgentControlClient, context| async move {
+    let fetch_state = |client: AgentControlClient, context| async move {
         client.ticket_state(context, text).await
     };
-    let answer = match state.pool.call(&control, TICKET_TIMEOUT, asked).await {
+    let answer = match state.pool.call(&control, TICKET_TIMEOUT, fetch_state).await {
         Ok(Ok(found)) => json_answer(&ticket_json(found)),
         Ok(Err(refused)) => refusal(&refused, explain(refused.reason)),
         Err(error) => refusal(&unknown, &error.to_string()),
