--- a/quillcove/src/entry/attempt.rs
+++ b/quillcove/src/entry/attempt.rs
@@ -177,9 +177,9 @@
     order: &AttemptOrder,
     response: Response<Incoming>,
 ) -> (AttemptEnd, Option<Response<Incoming>>) {
-    let news = headers::text(response.headers(), headers::NEWS);
-    if let Some(news) = news.and_then(|text| serde_json::from_str::<AgentNews>(text).ok()) {
-        notify_machine(state, EntryEvent::Heard(order.host.clone(), news));
+    let report = headers::text(response.headers(), headers::NEWS);
+    if let Some(report) = report.and_then(|text| serde_json::from_str::<AgentNews>(text).ok()) {
+        notify_machine(state, EntryEvent::Heard(order.host.clone(), report));
     }
     if !response.headers().contains_key(headers::REFUSED) {
         return match response.headers().contains_key(headers::VERDICT) {
