--- a/quillcove/src/entry/admit.rs
+++ b/quillcove/src/entry/admit.rs
@@ -1,4 +1,4 @@
-//! Reading callers' requests: target, class, deadline and whether they may run twice.
+//! Parsing of callers' requests: target, priority class, deadline and whether they may run twice.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -20,18 +20,18 @@
 use crate::config::entry::RequestSection;
 use crate::web::headers;
 
-/// Longest name of a caller or a key, in bytes.
-const TEXT_LIMIT: usize = 256;
+/// Longest caller name, ticket or idempotency key, in bytes.
+const HEADER_TEXT_LIMIT_BYTES: usize = 256;
 
-/// Bytes of a prompt that decide on which engine its prefix is likely cached.
-const PREFIX_BYTES: usize = 256;
+/// Bytes at the start of a prompt that are hashed to prefer an engine with a cached prefix.
+const PREFIX_HASH_BYTES: usize = 256;
 
-/// Why a request is not admitted.
+/// Error of a request that is not admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmitError {
-    /// Reason for the verdict.
+    /// Reason given to the caller.
     pub reason: RefusalReason,
-    /// What was found and what is accepted.
+    /// Explanation: what was received and what is accepted.
     pub message: String,
 }
 
@@ -41,26 +41,27 @@
     }
 }
 
-/// What the headers of a request say.
+/// Options that a request's headers set.
 #[derive(Clone, Debug)]
-pub struct RequestTerms {
+pub struct RequestOptions {
     pub class: WorkClass,
     pub repeat: RepeatRule,
-    pub limit: Duration,
+    pub timeout: Duration,
     pub caller: String,
     pub ticket: Option<String>,
     pub key: Option<String>,
-    /// Most upstreams that the request may be sent to, where its route says so.
+    /// Highest number of upstreams that the request may be sent to; `None` without a route.
     pub attempt_limit: Option<u32>,
 }
 
-/// Reads the headers that belong to quillcove.
-pub fn read_terms(
+/// Parses the `Quillcove-*` headers and the idempotency key. `default` applies if the request does
+/// not say whether it may be repeated.
+pub fn parse_options(
     headers: &HeaderMap,
     default: RepeatRule,
     section: &RequestSection,
-) -> Result<RequestTerms, AdmitError> {
-    let class = read_class(headers)?;
+) -> Result<RequestOptions, AdmitError> {
+    let class = parse_priority(headers)?;
     let repeat = match headers::text(headers, headers::REPEATABLE) {
         None => default,
         Some("no") => RepeatRule::Once,
@@ -70,48 +71,49 @@
             return Err(AdmitError::bad(message));
         },
     };
-    let limit = match (headers.contains_key(headers::DEADLINE_MS), class) {
+    let timeout = match (headers.contains_key(headers::DEADLINE_MS), class) {
         (false, WorkClass::Batch) => section.batch_deadline,
         (false, _) => section.deadline,
         (true, _) => headers::millis(headers, headers::DEADLINE_MS).ok_or_else(|| {
             AdmitError::bad("Quillcove-Deadline-Ms is not a whole number of milliseconds")
         })?,
     };
-    Ok(RequestTerms {
+    Ok(RequestOptions {
         class,
         repeat,
-        limit: limit.min(section.deadline_limit),
-        caller: short_text(headers, headers::CALLER)?.unwrap_or_default(),
-        ticket: short_text(headers, headers::TICKET)?,
-        key: short_text(headers, headers::IDEMPOTENCY_KEY)?,
+        timeout: timeout.min(section.deadline_limit),
+        caller: bounded_text(headers, headers::CALLER)?.unwrap_or_default(),
+        ticket: bounded_text(headers, headers::TICKET)?,
+        key: bounded_text(headers, headers::IDEMPOTENCY_KEY)?,
         attempt_limit: None,
     })
 }
 
-/// Reads the headers of a request of a route. The route's word goes before the caller's where the two
-/// clash: what may run once is not repeated, and nothing is held longer than the route allows.
-pub fn read_route_terms(
+/// Parses the headers of a request that matched a route. The route's settings override the caller's
+/// where they conflict: a request that may run only once is not repeated, and no request is held
+/// longer than the route's timeout.
+pub fn parse_route_options(
     headers: &HeaderMap,
     route: &RouteRecord,
     section: &RequestSection,
-) -> Result<RequestTerms, AdmitError> {
+) -> Result<RequestOptions, AdmitError> {
     let default = match route.kind.is_repeatable() {
         true => RepeatRule::Repeatable,
         false => RepeatRule::Once,
     };
-    let mut terms = read_terms(headers, default, section)?;
+    let mut options = parse_options(headers, default, section)?;
     if default == RepeatRule::Once {
-        terms.repeat = RepeatRule::Once;
+        options.repeat = RepeatRule::Once;
     }
     if !headers.contains_key(headers::PRIORITY) {
-        terms.class = route.class();
+        options.class = route.class();
     }
-    terms.limit = terms.limit.min(route.timeout);
-    terms.attempt_limit = Some(route.attempt_limit);
-    Ok(terms)
+    options.timeout = options.timeout.min(route.timeout);
+    options.attempt_limit = Some(route.attempt_limit);
+    Ok(options)
 }
 
-fn read_class(headers: &HeaderMap) -> Result<WorkClass, AdmitError> {
+fn parse_priority(headers: &HeaderMap) -> Result<WorkClass, AdmitError> {
     let Some(label) = headers::text(headers, headers::PRIORITY) else {
         return Ok(WorkClass::default());
     };
@@ -122,21 +124,21 @@
     })
 }
 
-fn short_text(headers: &HeaderMap, name: &str) -> Result<Option<String>, AdmitError> {
+fn bounded_text(headers: &HeaderMap, name: &str) -> Result<Option<String>, AdmitError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     match value.to_str() {
-        Ok(text) if text.len() <= TEXT_LIMIT => Ok(Some(text.to_string())),
+        Ok(text) if text.len() <= HEADER_TEXT_LIMIT_BYTES => Ok(Some(text.to_string())),
         _ => Err(AdmitError::bad(format!(
-            "header {name} is not a text of at most {TEXT_LIMIT} characters"
+            "header {name} is not a text of at most {HEADER_TEXT_LIMIT_BYTES} characters"
         ))),
     }
 }
 
-/// The parts of a completion request that routing needs.
+/// Fields of a completion request that routing needs.
 #[derive(serde::Deserialize)]
-struct CompletionHead<'a> {
+struct CompletionFields<'a> {
     model: String,
     #[serde(default)]
     stream: bool,
@@ -152,19 +154,20 @@
     pub adapter: AdapterRef,
     pub model: String,
     pub prefix: Option<u64>,
-    /// Whether the caller wants a stream of events.
+    /// Whether the caller requested an event stream.
     pub is_stream: bool,
     /// The body with the adapter's name and version in place of the caller's model name.
     pub body: Bytes,
 }
 
-/// Resolves the model of a completion request, once for its whole life.
-pub fn read_completion(
+/// Parses a completion request and resolves its model to an adapter version, which all attempts of
+/// the request use.
+pub fn parse_completion(
     body: &Bytes,
     class: WorkClass,
     bundle: &FleetBundle,
 ) -> Result<AdmittedCompletion, AdmitError> {
-    let head: CompletionHead<'_> =
+    let head: CompletionFields<'_> =
         serde_json::from_slice(body).map_err(|error| AdmitError::bad(format!("body: {error}")))?;
     let adapter = bundle.resolve(&head.model).map_err(|error| AdmitError {
         reason: RefusalReason::Unknown,
@@ -173,7 +176,7 @@
     let model = bundle.model_of(&adapter).unwrap_or_default().to_string();
     let prompt = head.prompt.or(head.messages).map(RawValue::get);
     let prefix = prompt.map(|text| {
-        let end = text.len().min(PREFIX_BYTES);
+        let end = text.len().min(PREFIX_HASH_BYTES);
         let start = String::from_utf8_lossy(&text.as_bytes()[..end]);
         rendezvous::weight(&adapter.to_string(), &start)
     });
@@ -181,7 +184,8 @@
     Ok(AdmittedCompletion { adapter, model, prefix, is_stream: head.stream, body })
 }
 
-/// Puts the resolved adapter and the engine's priority into the body; all else stays.
+/// Sets the resolved adapter and the engine's priority in the body and leaves all other fields as
+/// they are.
 fn rewrite_body(body: &Bytes, adapter: &AdapterRef, class: WorkClass) -> Result<Bytes, AdmitError> {
     let mut fields: serde_json::Map<String, serde_json::Value> =
         serde_json::from_slice(body).map_err(|error| AdmitError::bad(format!("body: {error}")))?;
@@ -191,29 +195,30 @@
     Ok(body.into())
 }
 
-/// The host that owns a run which must not happen twice: the issuer of its ticket, or among the
-/// replicas that the bundle names, the first by rendezvous hashing of its key.
-pub fn owner_of(
-    terms: &RequestTerms,
+/// Returns the host that owns a request which must run at most once: the issuer of its ticket, or
+/// the first of the bundle's replicas by rendezvous hashing of the caller and the idempotency key.
+/// Returns `None` for a repeatable request and for one with neither ticket nor key.
+pub fn owner_target(
+    options: &RequestOptions,
     service: &str,
     bundle: &FleetBundle,
 ) -> Result<Option<RouteTarget>, AdmitError> {
-    if terms.repeat == RepeatRule::Repeatable {
+    if options.repeat == RepeatRule::Repeatable {
         return Ok(None);
     }
-    if let Some(ticket) = &terms.ticket {
+    if let Some(ticket) = &options.ticket {
         let ticket = RunTicket::peek(ticket).ok_or(AdmitError {
             reason: RefusalReason::BadRequest,
             message: "Quillcove-Ticket can not be read".to_string(),
         })?;
         return Ok(Some(RouteTarget::Owner(ticket.owner)));
     }
-    let Some(key) = &terms.key else {
+    let Some(key) = &options.key else {
         return Ok(None);
     };
     let replicas = bundle.services.get(service).map(|entry| entry.replicas.as_slice());
     let names = replicas.unwrap_or_default().iter().map(String::as_str);
-    let key = format!("{}\n{key}", terms.caller);
+    let key = format!("{}\n{key}", options.caller);
     match rendezvous::first(&key, names) {
         Some(owner) => Ok(Some(RouteTarget::Owner(owner.to_string()))),
         None => Err(AdmitError {
@@ -225,30 +230,30 @@
     }
 }
 
-/// Puts the parts of a query together.
-pub fn query(
+/// Builds the routing query of a request, with its deadline counted from `now`.
+pub fn build_query(
     request: RequestId,
     target: RouteTarget,
-    terms: &RequestTerms,
+    options: &RequestOptions,
     prefix: Option<u64>,
     now: MonoTime,
 ) -> RouteQuery {
     RouteQuery {
         request,
         target,
-        class: terms.class,
-        repeat: terms.repeat,
-        deadline: now + terms.limit,
-        caller: terms.caller.clone(),
+        class: options.class,
+        repeat: options.repeat,
+        deadline: now + options.timeout,
+        caller: options.caller.clone(),
         prefix,
-        attempt_limit: terms.attempt_limit,
+        attempt_limit: options.attempt_limit,
         identity: None,
     }
 }
 
-/// Who sent a request: the caller that it names, else where it came from.
-pub fn caller_of(terms: &RequestTerms, address: IpAddr) -> CallerDigest {
-    match terms.caller.as_str() {
+/// Returns the digest of the caller's name, or of its address if the request names no caller.
+pub fn caller_of(options: &RequestOptions, address: IpAddr) -> CallerDigest {
+    match options.caller.as_str() {
         "" => caller_digest(address),
         name => named_caller_digest(name),
     }
--- a/quillcove/src/entry/attempt.rs
+++ b/quillcove/src/entry/attempt.rs
@@ -1,4 +1,5 @@
-//! One request on its way: attempts at agents until one answers or the machine gives up.
+//! Handling of one request: makes attempts at agents until one responds or the state machine
+//! rejects the request.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -19,9 +20,9 @@
 use quillcove_core::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
 use tokio::sync::{mpsc, oneshot};
 
-use super::admit::{self, RequestTerms};
+use super::admit::{self, RequestOptions};
 use super::context::ServeContext;
-use super::decide::{EntryInput, RequestStep, STEP_PLACES};
+use super::decide::{EntryInput, RequestStep, STEP_QUEUE_CAPACITY};
 use crate::control::AgentControlClient;
 use crate::duty::DutyRing;
 use crate::web::answer::{WebAnswer, explain, internal, refusal, refusal_body};
@@ -29,33 +30,34 @@
 use crate::web::client::WebError;
 use crate::web::headers;
 
-/// Longest time for a withdrawal, so that a caller learns its verdict soon.
+/// Timeout of a withdrawal; short, so that the caller receives its verdict soon.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time beyond a request's deadline after which an attempt without an answer is lost.
-const ANSWER_MARGIN: Duration = Duration::from_millis(200);
+/// Time after a request's deadline at which an attempt without a response counts as lost.
+const RESPONSE_GRACE: Duration = Duration::from_millis(200);
 
-/// Largest refusal of an agent, in bytes.
-const REFUSAL_LIMIT: usize = 64 << 10;
+/// Largest body of an agent's refusal that is read, in bytes.
+const REFUSAL_BODY_LIMIT_BYTES: usize = 64 << 10;
 
-/// A request as it goes to agents.
+/// A request as it is sent to agents.
 pub struct OutgoingRequest {
     pub query: RouteQuery,
-    pub terms: RequestTerms,
+    pub options: RequestOptions,
     pub method: Method,
-    /// Path and query at the upstream, without a leading slash.
+    /// Path and query string at the upstream, without a leading slash.
     pub path: String,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// Set for completions.
+    /// Set only for completions.
     pub adapter: Option<AdapterRef>,
-    /// Whether a stream of events is answered.
+    /// Whether the response is an event stream.
     pub is_stream: bool,
 }
 
 impl OutgoingRequest {
-    /// The same with what it is, for a caller at this address.
-    pub fn identified(mut self, address: IpAddr) -> Self {
+    /// Adds the request's identity: the digest of its content and that of its caller. `address`
+    /// identifies a caller that gives no name.
+    pub fn with_identity(mut self, address: IpAddr) -> Self {
         let parts = RequestParts {
             method: self.method.as_str(),
             host: "",
@@ -63,13 +65,13 @@
             key: None,
             body: &self.body,
         };
-        let caller = admit::caller_of(&self.terms, address);
+        let caller = admit::caller_of(&self.options, address);
         self.query.identity = Some(RequestIdentity { digest: parts.digest(), caller });
         self
     }
 }
 
-/// Tells the machine when a request is over, whichever way its handler ends.
+/// Reports a request to the state machine as done when dropped, however its handler ends.
 struct RequestGuard {
     ring: DutyRing<EntryInput>,
     request: RequestId,
@@ -81,64 +83,64 @@
     }
 }
 
-/// Times and counts one request.
-struct RequestWatch {
+/// Records the duration and outcome of one request in the metrics.
+struct RequestTimer {
     state: ServeContext,
     class: WorkClass,
     started: MonoTime,
 }
 
-impl RequestWatch {
-    fn finished(&self, verdict: RunVerdict) {
+impl RequestTimer {
+    fn record_finish(&self, verdict: RunVerdict) {
         let took = self.state.clock.now().saturating_sub(self.started);
         self.state.metrics.finished(verdict, self.class, took);
     }
 }
 
-/// Runs a request to its answer.
+/// Makes attempts as the state machine orders them and returns the response to the caller.
 pub async fn run(state: &ServeContext, outgoing: OutgoingRequest) -> WebAnswer {
     let request = outgoing.query.request;
-    let (sender, mut steps) = mpsc::channel(STEP_PLACES);
-    let watch = RequestWatch {
+    let (sender, mut steps) = mpsc::channel(STEP_QUEUE_CAPACITY);
+    let timer = RequestTimer {
         state: state.clone(),
         class: outgoing.query.class,
         started: state.clock.now(),
     };
     let input = EntryInput::Request(outgoing.query.clone(), sender);
     if state.ring.offer(input).is_err() {
-        return give_up(&watch, request, &WorkRefusal::overloaded());
+        return respond_refused(&timer, request, &WorkRefusal::overloaded());
     }
     let guard = RequestGuard { ring: state.ring.clone(), request };
     let mut is_first = true;
     while let Some(step) = steps.recv().await {
         let order = match step {
-            RequestStep::Finish(refused) => return give_up(&watch, request, &refused),
+            RequestStep::Finish(refused) => return respond_refused(&timer, request, &refused),
             RequestStep::Send(order) => order,
         };
         state.metrics.attempted(is_first);
         is_first = false;
         let (end, response) = attempt(state, &outgoing, &order).await;
-        tell(state, EntryEvent::AttemptEnded(order.attempt, end));
+        notify_machine(state, EntryEvent::AttemptEnded(order.attempt, end));
         if let Some(response) = response {
-            return answer(state, &outgoing, response, watch, guard);
+            return forward_response(state, &outgoing, response, timer, guard);
         }
     }
-    let gone = WorkRefusal::may_have_run(RefusalReason::Leaving);
-    give_up(&watch, request, &gone)
+    let stopping = WorkRefusal::may_have_run(RefusalReason::Leaving);
+    respond_refused(&timer, request, &stopping)
 }
 
-fn tell(state: &ServeContext, event: EntryEvent) {
+fn notify_machine(state: &ServeContext, event: EntryEvent) {
     state.ring.put(EntryInput::Event(event));
 }
 
-/// Answers the caller with a refusal, at once.
-fn give_up(watch: &RequestWatch, request: RequestId, refused: &WorkRefusal) -> WebAnswer {
-    watch.state.metrics.refused(refused.reason, watch.class);
-    watch.finished(refused.verdict);
+/// Records a refusal and returns it as the response to the caller.
+fn respond_refused(timer: &RequestTimer, request: RequestId, refused: &WorkRefusal) -> WebAnswer {
+    timer.state.metrics.refused(refused.reason, timer.class);
+    timer.record_finish(refused.verdict);
     with_request_id(refusal(refused, explain(refused.reason)), request)
 }
 
-/// Adds the request's id to an answer.
+/// Adds the request's ID to a response.
 pub fn with_request_id(answer: WebAnswer, request: RequestId) -> WebAnswer {
     let mut response = answer?;
     let id = HeaderValue::from_str(&format!("{request:030x}")).map_err(internal)?;
@@ -146,21 +148,21 @@
     Ok(response)
 }
 
-/// Makes one attempt.
+/// Makes one attempt. Returns how it ended and, if the upstream responded, the response.
 async fn attempt(
     state: &ServeContext,
     outgoing: &OutgoingRequest,
     order: &AttemptOrder,
 ) -> (AttemptEnd, Option<Response<Incoming>>) {
-    let left = outgoing.query.deadline.saturating_sub(state.clock.now());
-    let request = match agent_request(outgoing, order, left) {
+    let remaining = outgoing.query.deadline.saturating_sub(state.clock.now());
+    let request = match build_agent_request(outgoing, order, remaining) {
         Ok(request) => request,
         Err(_) => return (AttemptEnd::Unreachable, None),
     };
     let exchange = state.client.send(request);
-    let exchange = tokio::time::timeout(left + ANSWER_MARGIN, exchange).await;
+    let exchange = tokio::time::timeout(remaining + RESPONSE_GRACE, exchange).await;
     match exchange {
-        Ok(Ok(response)) => sort_answer(state, order, response).await,
+        Ok(Ok(response)) => classify_response(state, order, response).await,
         Ok(Err(WebError::NotSent(_))) => (AttemptEnd::Unreachable, None),
         Ok(Err(WebError::Lost(_) | WebError::Status(_))) | Err(_) => {
             (withdraw(state, order).await, None)
@@ -168,31 +170,32 @@
     }
 }
 
-/// Tells an agent's refusal from an upstream's answer.
-async fn sort_answer(
+/// Distinguishes an agent's refusal from an upstream's response, and passes on the state that the
+/// agent reports about itself in a header.
+async fn classify_response(
     state: &ServeContext,
     order: &AttemptOrder,
     response: Response<Incoming>,
 ) -> (AttemptEnd, Option<Response<Incoming>>) {
-    let news = headers::text(response.headers(), headers::NEWS);
-    if let Some(news) = news.and_then(|text| serde_json::from_str::<AgentNews>(text).ok()) {
-        tell(state, EntryEvent::Heard(order.host.clone(), news));
+    let report = headers::text(response.headers(), headers::NEWS);
+    if let Some(report) = report.and_then(|text| serde_json::from_str::<AgentNews>(text).ok()) {
+        notify_machine(state, EntryEvent::Heard(order.host.clone(), report));
     }
     if !response.headers().contains_key(headers::REFUSED) {
         return match response.headers().contains_key(headers::VERDICT) {
             true => (AttemptEnd::Answered, Some(response)),
-            // Not an agent's answer: the address may belong to somebody else by now.
+            // Not a response of an agent: another process may use the address by now.
             false => (AttemptEnd::Lost, None),
         };
     }
-    let refused = read_refusal(response.headers());
-    // The connection is of use again only when its body was read.
-    let body = http_body_util::Limited::new(response.into_body(), REFUSAL_LIMIT);
+    let refused = parse_refusal(response.headers());
+    // The connection can be reused only after the body has been read.
+    let body = http_body_util::Limited::new(response.into_body(), REFUSAL_BODY_LIMIT_BYTES);
     let _ = body.collect().await;
     (AttemptEnd::Refused(refused), None)
 }
 
-fn read_refusal(headers: &HeaderMap) -> WorkRefusal {
+fn parse_refusal(headers: &HeaderMap) -> WorkRefusal {
     let reason = headers::text(headers, headers::REASON).and_then(RefusalReason::from_label);
     let verdict = headers::text(headers, headers::VERDICT).and_then(RunVerdict::from_label);
     WorkRefusal {
@@ -202,17 +205,17 @@
     }
 }
 
-/// Asks the agent of a lost attempt whether it began. Only the agent's word that it did not, and
-/// never will, makes the verdict certain.
+/// Withdraws a lost attempt. The request is known not to have run only if the agent confirms that
+/// the attempt has not started and never will.
 async fn withdraw(state: &ServeContext, order: &AttemptOrder) -> AttemptEnd {
-    let Some(control) = find_control(state, &order.host).await else {
+    let Some(control) = find_control_address(state, &order.host).await else {
         return AttemptEnd::Lost;
     };
     let (attempt, incarnation) = (order.attempt, order.incarnation);
-    let withdrawn = |client: AgentControlClient, context| async move {
+    let send_withdrawal = |client: AgentControlClient, context| async move {
         client.withdraw(context, attempt, incarnation).await
     };
-    match state.pool.call(&control, WITHDRAW_TIMEOUT, withdrawn).await {
+    match state.pool.call(&control, WITHDRAW_TIMEOUT, send_withdrawal).await {
         Ok(WithdrawAnswer::NotRun) => {
             AttemptEnd::Refused(WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SOON)))
         },
@@ -220,19 +223,20 @@
     }
 }
 
-/// The control address of a host.
-pub async fn find_control(state: &ServeContext, host: &str) -> Option<String> {
+/// Returns the address for control calls to a host's agent, if the host is known.
+pub async fn find_control_address(state: &ServeContext, host: &str) -> Option<String> {
     let (sender, receiver) = oneshot::channel();
     state.ring.offer(EntryInput::FindControl(host.to_string(), sender)).ok()?;
     receiver.await.ok()?
 }
 
-fn agent_request(
+/// Builds the HTTP request of an attempt; `remaining` is the time to the deadline.
+fn build_agent_request(
     outgoing: &OutgoingRequest,
     order: &AttemptOrder,
-    left: Duration,
+    remaining: Duration,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
-    let terms = &outgoing.terms;
+    let options = &outgoing.options;
     let uri = format!("http://{}/run/{}", order.address, outgoing.path);
     let mut request = Request::builder().method(outgoing.method.clone()).uri(uri);
     if let Some(headers) = request.headers_mut() {
@@ -241,49 +245,49 @@
     request = request
         .header(headers::ATTEMPT, format!("{:x}", order.attempt))
         .header(headers::INCARNATION, format!("{:x}", order.incarnation))
-        .header(headers::DEADLINE_MS, left.as_millis() as u64)
-        .header(headers::PRIORITY, terms.class.label())
-        .header(headers::CALLER, terms.caller.as_str());
+        .header(headers::DEADLINE_MS, remaining.as_millis() as u64)
+        .header(headers::PRIORITY, options.class.label())
+        .header(headers::CALLER, options.caller.as_str());
     if let Some(identity) = &outgoing.query.identity {
         request = request.header(headers::IDENTITY, identity.to_string());
     }
     if let Some(adapter) = &outgoing.adapter {
         request = request.header(headers::ADAPTER, adapter.to_string());
     }
-    if terms.repeat == RepeatRule::Once {
+    if options.repeat == RepeatRule::Once {
         request = request.header(headers::REPEATABLE, "no");
-        if let Some(ticket) = &terms.ticket {
+        if let Some(ticket) = &options.ticket {
             request = request.header(headers::TICKET, ticket.as_str());
         }
-        if let Some(key) = &terms.key {
+        if let Some(key) = &options.key {
             request = request.header(headers::KEY, key.as_str());
         }
     }
     request.body(Full::new(outgoing.body.clone()))
 }
 
-/// Passes an upstream's answer to the caller.
-fn answer(
+/// Forwards an upstream's response to the caller.
+fn forward_response(
     state: &ServeContext,
     outgoing: &OutgoingRequest,
     response: Response<Incoming>,
-    watch: RequestWatch,
+    timer: RequestTimer,
     guard: RequestGuard,
 ) -> WebAnswer {
-    let took = state.clock.now().saturating_sub(watch.started);
-    state.metrics.answered(watch.class, took);
+    let took = state.clock.now().saturating_sub(timer.started);
+    state.metrics.answered(timer.class, took);
     let request = outgoing.query.request;
     let is_stream = outgoing.is_stream && response.status() == StatusCode::OK;
     let (parts, incoming) = response.into_parts();
     let body = WatchedBody::new(incoming, move |end| {
-        watch.finished(match end {
+        timer.record_finish(match end {
             BodyEnd::Whole => RunVerdict::Ran,
             BodyEnd::Broken | BodyEnd::Dropped => RunVerdict::MayHaveRun,
         });
         drop(guard);
     });
     let body = match is_stream {
-        true => body.ending_with(stream_end),
+        true => body.ending_with(broken_stream_event),
         false => body,
     };
     let mut answer = Response::new(Body::wrap(body));
@@ -292,7 +296,7 @@
     if let Some(waited) = parts.headers.get(headers::WAITED_MS) {
         answer.headers_mut().insert(headers::WAITED_MS, waited.clone());
     }
-    // A stream's verdict is known only at its end, which `[DONE]` or an error event tells.
+    // A stream's verdict is known only at its end, marked by `[DONE]` or by an error event.
     let verdict = match is_stream {
         true => RunVerdict::MayHaveRun,
         false => RunVerdict::Ran,
@@ -302,8 +306,8 @@
     with_request_id(Ok(answer), request)
 }
 
-/// The error event of a stream that broke off.
-fn stream_end(end: BodyEnd) -> Option<Bytes> {
+/// Returns the error event for a stream that broke off, and nothing for any other end.
+fn broken_stream_event(end: BodyEnd) -> Option<Bytes> {
     let refused = WorkRefusal::may_have_run(RefusalReason::UpstreamBroke);
     let body = refusal_body(&refused, explain(refused.reason));
     (end == BodyEnd::Broken).then(|| Bytes::from(format!("\n\nevent: error\ndata: {body}\n\n")))
--- a/quillcove/src/entry/decide.rs
+++ b/quillcove/src/entry/decide.rs
@@ -1,4 +1,4 @@
-//! The duty that decides: it owns the machine and carries its actions out.
+//! The `decide` thread: owns the entry's state machine and executes its actions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,60 +19,61 @@
 use crate::duty;
 use crate::process::note_ready;
 
-/// Steps that may wait for a request's handler; it never has more than one at a time.
-pub const STEP_PLACES: usize = 4;
+/// Capacity of the step queue of a request's handler, which never has more than one step pending.
+pub const STEP_QUEUE_CAPACITY: usize = 4;
 
-/// What the deciding duty takes.
+/// Input of the `decide` thread.
 pub enum EntryInput {
-    /// An event for the machine.
+    /// An event for the state machine.
     Event(EntryEvent),
-    /// A request, with the place for its steps.
+    /// A new request, with the channel on which its handler receives steps.
     Request(RouteQuery, mpsc::Sender<RequestStep>),
-    /// A question for the address of control calls to a host's agent.
+    /// Looks up the address for control calls to a host's agent.
     FindControl(HostId, oneshot::Sender<Option<String>>),
-    /// A wish for the whole state.
+    /// Requests a dump of the state.
     Dump(oneshot::Sender<EntryView>),
-    /// End now.
+    /// Ends the thread at once.
     Halt,
 }
 
-/// What a request's handler does next.
+/// Next step of a request's handler.
 #[derive(Clone, Debug)]
 pub enum RequestStep {
-    /// Make an attempt.
+    /// Makes an attempt.
     Send(AttemptOrder),
-    /// Answer with a refusal.
+    /// Rejects the request with this refusal.
     Finish(WorkRefusal),
 }
 
-/// State of the duty.
+/// State of the `decide` thread.
 pub struct DecideDuty {
     pub machine: EntryMachine,
     pub clock: MonoClock,
-    pub watch_asks: mpsc::Sender<WatchAsk>,
+    pub watch_requests: mpsc::Sender<WatchAsk>,
     pub halt: watch::Sender<bool>,
     pub is_ready: Arc<AtomicBool>,
-    pub callers: HashMap<RequestId, mpsc::Sender<RequestStep>>,
+    pub step_senders: HashMap<RequestId, mpsc::Sender<RequestStep>>,
     pub log: Logger,
 }
 
 impl DecideDuty {
-    /// Starts the duty's thread.
+    /// Starts the thread, which handles its inputs and a tick of the machine each `tick`.
     pub fn spawn(mut self, inputs: Receiver<EntryInput>, tick: Duration) -> JoinHandle<()> {
-        duty::start("decide", inputs, tick, move |input| self.take(input))
+        duty::start("decide", inputs, tick, move |input| self.process_input(input))
     }
 
-    fn take(&mut self, input: Option<EntryInput>) -> bool {
+    /// Handles one input, or a tick if there is none; returns whether the thread goes on.
+    fn process_input(&mut self, input: Option<EntryInput>) -> bool {
         match input {
             None => self.handle(EntryEvent::Ticked),
             Some(EntryInput::Event(event)) => {
                 if let EntryEvent::Done(request) = event {
-                    self.callers.remove(&request);
+                    self.step_senders.remove(&request);
                 }
                 self.handle(event);
             },
             Some(EntryInput::Request(query, steps)) => {
-                self.callers.insert(query.request, steps);
+                self.step_senders.insert(query.request, steps);
                 self.handle(EntryEvent::Admitted(query));
             },
             Some(EntryInput::FindControl(host, answer)) => {
@@ -90,26 +91,26 @@
         let mut actions = Vec::new();
         self.machine.handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         note_ready(&self.is_ready, self.machine.is_ready(), &self.log);
     }
 
-    fn carry_out(&mut self, action: EntryAction) {
+    fn execute(&mut self, action: EntryAction) {
         match action {
             EntryAction::Send(order) => {
                 let request = order.request;
-                self.step(request, RequestStep::Send(order));
+                self.send_step(request, RequestStep::Send(order));
             },
             EntryAction::Finish(request, refusal) => {
-                self.step(request, RequestStep::Finish(refusal));
-                self.callers.remove(&request);
+                self.send_step(request, RequestStep::Finish(refusal));
+                self.step_senders.remove(&request);
             },
             EntryAction::ReadHosts => {
-                let _ = self.watch_asks.try_send(WatchAsk::ReadHosts);
+                let _ = self.watch_requests.try_send(WatchAsk::ReadHosts);
             },
             EntryAction::SeekBundle => {
-                let _ = self.watch_asks.try_send(WatchAsk::SeekBundle);
+                let _ = self.watch_requests.try_send(WatchAsk::SeekBundle);
             },
             EntryAction::Stopped => {
                 info!(self.log, "entry stopped");
@@ -118,9 +119,10 @@
         }
     }
 
-    /// A handler that is gone closes its request by itself.
-    fn step(&mut self, request: RequestId, step: RequestStep) {
-        if let Some(steps) = self.callers.get(&request) {
+    /// Sends a step to a request's handler. A handler that has ended needs none: its guard reports
+    /// the request as done.
+    fn send_step(&mut self, request: RequestId, step: RequestStep) {
+        if let Some(steps) = self.step_senders.get(&request) {
             let _ = steps.try_send(step);
         }
     }
--- a/quillcove/src/entry/mod.rs
+++ b/quillcove/src/entry/mod.rs
@@ -1,7 +1,7 @@
-//! The entry: a thin process between callers and agents.
+//! The entry: a thin process that forwards callers' requests to agents.
 //!
-//! Duties: `decide` owns the machine; `serve` talks to callers, agents and operators; `watch`
-//! follows the platform.
+//! It runs three threads: `decide` owns the state machine; `serve` handles the connections to
+//! callers, agents and operators; `watch` reads hosts and bundles from the platform.
 
 mod admit;
 mod attempt;
@@ -32,30 +32,30 @@
 use crate::platform::HttpPlatform;
 use crate::process::{DumpInspector, ProcessHandle, close_when_halted};
 
-/// Events that may wait for the deciding duty.
-const RING_PLACES: usize = 8192;
+/// Capacity of the event queue of the `decide` thread.
+const EVENT_QUEUE_CAPACITY: usize = 8192;
 
-/// Questions that may wait for the watching duty.
-const ASK_PLACES: usize = 64;
+/// Capacity of the request queue of the `watch` thread.
+const WATCH_QUEUE_CAPACITY: usize = 64;
 
-/// Time between ticks of the machine.
-const TICK: Duration = Duration::from_millis(10);
+/// Interval between ticks of the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running entry.
 pub struct EntryProcess {
-    /// Address for callers.
+    /// Address on which callers are served.
     pub callers: SocketAddr,
-    /// Address for operators.
+    /// Address on which operators are served.
     pub operator: SocketAddr,
     handle: ProcessHandle<EntryInput>,
 }
 
 impl EntryProcess {
-    /// Starts all duties.
+    /// Starts all threads and waits until the servers are bound.
     ///
     /// # Errors
     ///
-    /// When an address can not be bound.
+    /// Returns an error if the metrics can not be created or an address can not be bound.
     ///
     /// ```
     /// use quillcove::config::entry::EntrySettings;
@@ -71,18 +71,18 @@
         let settings = Arc::new(settings);
         let metrics = Arc::new(ProcessMetrics::new("entry")?);
         let shelf = FleetShelf::default();
-        let (ring, inputs) = DutyRing::new(RING_PLACES);
-        let (watch_asks, watch_receiver) = mpsc::channel(ASK_PLACES);
+        let (ring, inputs) = DutyRing::new(EVENT_QUEUE_CAPACITY);
+        let (watch_requests, watch_receiver) = mpsc::channel(WATCH_QUEUE_CAPACITY);
         let (halt, halted) = watch::channel(false);
         let is_ready = Arc::new(AtomicBool::new(false));
 
         let decide = DecideDuty {
             machine: EntryMachine::new(settings.rules(), rand::random(), clock.now()),
             clock,
-            watch_asks,
+            watch_requests,
             halt: halt.clone(),
             is_ready: is_ready.clone(),
-            callers: Default::default(),
+            step_senders: Default::default(),
             log: log.clone(),
         };
         let serve = ServeContext::new(
@@ -99,7 +99,7 @@
         };
 
         let (bound_sender, bound) = std::sync::mpsc::channel();
-        let mut threads = vec![decide.spawn(inputs, TICK)];
+        let mut threads = vec![decide.spawn(inputs, TICK_INTERVAL)];
         let workers = settings.listen.threads;
         let halted_serve = halted.clone();
         let serve_log = log.clone();
@@ -107,9 +107,10 @@
             let run = run_servers(serve, inspector, bound_sender, halted_serve, serve_log);
             duty::run_async(workers, run);
         }));
-        let (callers, operator) = bound.recv().wrap_err("the serving duty ended")??;
+        let (callers, operator) =
+            bound.recv().wrap_err("the serve thread ended before its servers were bound")??;
         let watch_ring = ring.clone();
-        let notify = move |news| tell_machine(&watch_ring, news);
+        let notify = move |update| forward_update(&watch_ring, update);
         let platform = HttpPlatform::new(settings.platform.address, settings.platform.timeout);
         let sections = (settings.platform.clone(), settings.bundle.clone());
         let watch = FleetWatch::new(platform, sections, None, shelf, log.clone(), notify);
@@ -121,7 +122,7 @@
         Ok(Self { callers, operator, handle })
     }
 
-    /// Begins the planned stop: new requests are refused and those in flight end whole.
+    /// Begins a graceful shutdown: new requests are rejected and those in flight run to completion.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -132,7 +133,7 @@
         self.handle.ring.put(EntryInput::Event(EntryEvent::StopAsked));
     }
 
-    /// Ends at once and cuts what is in flight.
+    /// Stops at once and aborts the requests in flight.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -143,7 +144,7 @@
         self.handle.abort(EntryInput::Halt);
     }
 
-    /// Tells whether the planned stop is over.
+    /// Returns whether the graceful shutdown has completed.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -154,7 +155,7 @@
         self.handle.has_stopped()
     }
 
-    /// Tells whether new requests are taken.
+    /// Returns whether new requests are accepted.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -165,7 +166,7 @@
         self.handle.is_ready()
     }
 
-    /// Requests in flight now.
+    /// Returns the number of requests in flight.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -176,7 +177,7 @@
         self.handle.dump(EntryInput::Dump).map_or(0, |view| view.requests)
     }
 
-    /// Waits for the end of all duties.
+    /// Waits until all threads have ended.
     ///
     /// ```no_run
     /// # fn run(entry: quillcove::entry::EntryProcess) {
@@ -189,18 +190,20 @@
     }
 }
 
-fn tell_machine(ring: &DutyRing<EntryInput>, news: WatchNews) {
-    let event = match news {
+/// Passes an update of the platform to the state machine.
+fn forward_update(ring: &DutyRing<EntryInput>, update: WatchNews) {
+    let event = match update {
         WatchNews::Bundle(bundle) => EntryEvent::BundleTaken(bundle),
         WatchNews::Hosts(hosts) => EntryEvent::HostsSeen(hosts),
     };
     ring.put(EntryInput::Event(event));
 }
 
-/// Addresses for callers and operators.
+/// Bound addresses for callers and for operators, in this order.
 type BoundAddresses = (SocketAddr, SocketAddr);
 
-/// Runs the servers until the process halts.
+/// Starts the servers, reports their addresses or the error on `bound`, and runs them until the
+/// process halts.
 async fn run_servers(
     serve: ServeContext,
     inspector: DumpInspector<EntryInput, EntryView>,
--- a/quillcove/src/entry/serve.rs
+++ b/quillcove/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! The callers' address of an entry.
+//! HTTP server for callers: completions, calls of plain services and routes, and tickets.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 use serde_json::json;
 use slog::Logger;
 
-use super::admit::{self, AdmitError, RequestTerms};
-use super::attempt::{self, OutgoingRequest, find_control, with_request_id};
+use super::admit::{self, AdmitError, RequestOptions};
+use super::attempt::{self, OutgoingRequest, find_control_address, with_request_id};
 use super::context::ServeContext;
 use crate::control::AgentControlClient;
 use crate::logging::quiet;
@@ -26,18 +26,19 @@
 use crate::web::headers;
 use crate::web::server::{self, RestPath, register, register_any_method};
 
-/// Longest time for a ticket call.
+/// Timeout of a control call about tickets.
 const TICKET_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Owners asked for a ticket before a caller is told to come back.
-const TICKET_TRIES: usize = 3;
+/// Most agents tried for a ticket before the request is rejected with a retry time.
+const TICKET_AGENT_LIMIT: usize = 3;
 
-/// A new request's id; its low bits stay free for the number of the attempt.
+/// Returns a random ID of at most 120 bits for a new request. An attempt's ID is that of its
+/// request with the number of the attempt in 8 further low bits.
 fn new_request() -> RequestId {
     rand::random::<u128>() >> 8
 }
 
-/// Answers a request that was not admitted.
+/// Returns the response to a request that was not admitted.
 fn reject(request: RequestId, error: &AdmitError) -> WebAnswer {
     let retry_after = match error.reason {
         RefusalReason::BundleMissing | RefusalReason::NoUpstream => Some(SOON),
@@ -47,7 +48,7 @@
     with_request_id(refusal(&refused, &error.message), request)
 }
 
-/// Reads a body within its time and size.
+/// Reads a request's body within the limits on its time and size.
 async fn read_body(
     state: &ServeContext,
     bundle: &FleetBundle,
@@ -95,33 +96,33 @@
     path: &str,
     request: RequestId,
 ) -> Result<OutgoingRequest, AdmitError> {
-    let given = context.request.headers();
+    let request_headers = context.request.headers();
     let section = &state.settings.requests;
-    let terms = admit::read_terms(given, RepeatRule::Repeatable, section)?;
+    let options = admit::parse_options(request_headers, RepeatRule::Repeatable, section)?;
     let bundle = state.bundle()?;
     let body = read_body(state, &bundle, body).await?;
-    let completion = admit::read_completion(&body, terms.class, &bundle)?;
+    let completion = admit::parse_completion(&body, options.class, &bundle)?;
     let adapter = completion.adapter.clone();
     let target = RouteTarget::Adapter { adapter, model: completion.model };
     let now = state.clock.now();
     let outgoing = OutgoingRequest {
-        query: admit::query(request, target, &terms, completion.prefix, now),
-        terms,
+        query: admit::build_query(request, target, &options, completion.prefix, now),
+        options,
         method: Method::POST,
         path: path.to_string(),
-        headers: headers::passed(given),
+        headers: headers::passed(request_headers),
         is_stream: completion.is_stream,
         body: completion.body,
         adapter: Some(completion.adapter),
     };
-    Ok(outgoing.identified(context.request.remote_addr().ip()))
+    Ok(outgoing.with_identity(context.request.remote_addr().ip()))
 }
 
 /// Path of a call to a plain service.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct ServicePath {
     service: String,
-    /// Read by [`server::rest_of`] instead, as it was sent.
+    /// Declared for the router only; [`server::rest_of`] reads the path undecoded, as it was sent.
     #[allow(dead_code)]
     path: Vec<String>,
 }
@@ -146,19 +147,20 @@
     body: StreamingBody,
     request: RequestId,
 ) -> Result<OutgoingRequest, AdmitError> {
-    let given = context.request.headers();
+    let request_headers = context.request.headers();
     let default = default_repeat(context.request.method());
-    let terms = admit::read_terms(given, default, &state.settings.requests)?;
-    let call = ServiceCall { service: path.service, terms, skipped: 2, is_stream: false };
+    let options = admit::parse_options(request_headers, default, &state.settings.requests)?;
+    let call =
+        ServiceCall { service: path.service, options, skipped_segments: 2, is_stream: false };
     outgoing_call(state, context, call, body, request).await
 }
 
-/// A call to a plain service, as admitted.
+/// An admitted call to a plain service.
 struct ServiceCall {
     service: ServiceName,
-    terms: RequestTerms,
-    /// Segments of the path that are the entry's own and not the service's.
-    skipped: usize,
+    options: RequestOptions,
+    /// Leading path segments that belong to the entry and are not sent to the service.
+    skipped_segments: usize,
     is_stream: bool,
 }
 
@@ -171,25 +173,25 @@
 ) -> Result<OutgoingRequest, AdmitError> {
     let bundle = state.bundle()?;
     let body = read_body(state, &bundle, body).await?;
-    let ServiceCall { service, terms, skipped, is_stream } = call;
+    let ServiceCall { service, options, skipped_segments, is_stream } = call;
     if !bundle.services.contains_key(&service) {
         let message = format!("the bundle has no service '{service}'");
         return Err(AdmitError { reason: RefusalReason::Unknown, message });
     }
-    let owner = admit::owner_of(&terms, &service, &bundle)?;
+    let owner = admit::owner_target(&options, &service, &bundle)?;
     let target = owner.unwrap_or(RouteTarget::Service(service));
     let now = state.clock.now();
     let outgoing = OutgoingRequest {
-        query: admit::query(request, target, &terms, None, now),
-        terms,
+        query: admit::build_query(request, target, &options, None, now),
+        options,
         method: context.request.method().clone(),
-        path: server::rest_of(context.request.uri(), skipped).to_string(),
+        path: server::rest_of(context.request.uri(), skipped_segments).to_string(),
         headers: headers::passed(context.request.headers()),
         body,
         adapter: None,
         is_stream,
     };
-    Ok(outgoing.identified(context.request.remote_addr().ip()))
+    Ok(outgoing.with_identity(context.request.remote_addr().ip()))
 }
 
 async fn call_route(
@@ -199,36 +201,37 @@
 ) -> WebAnswer {
     let state = context.context();
     let request = new_request();
-    match prepare_routed(state, &context, body, request).await {
+    match prepare_route_call(state, &context, body, request).await {
         Ok(outgoing) => attempt::run(state, outgoing).await,
         Err(error) => reject(request, &error),
     }
 }
 
-/// A call to the service that the bundle's route of its host and path leads to.
-async fn prepare_routed(
+/// Prepares a call to the service that the bundle's route for its host and path selects.
+async fn prepare_route_call(
     state: &ServeContext,
     context: &RequestContext<ServeContext>,
     body: StreamingBody,
     request: RequestId,
 ) -> Result<OutgoingRequest, AdmitError> {
-    let given = context.request.headers();
+    let request_headers = context.request.headers();
     let unknown = |message| AdmitError { reason: RefusalReason::Unknown, message };
     let bundle = state.bundle()?;
-    let host = headers::text(given, "host").unwrap_or_default();
+    let host = headers::text(request_headers, "host").unwrap_or_default();
     let path = format!("/{}", server::rest_of(context.request.uri(), 1));
     let route = bundle.routes.find(host, &path);
     let route = route.ok_or_else(|| unknown(format!("no route for {host}{path}")))?;
-    let terms = admit::read_route_terms(given, route, &state.settings.requests)?;
+    let options = admit::parse_route_options(request_headers, route, &state.settings.requests)?;
     let service = route.draw_service(rand::random());
     let no_service = || unknown(format!("route '{}' leads to no service", route.name));
     let service = service.cloned().ok_or_else(no_service)?;
     let is_stream = route.kind.is_stream();
-    let call = ServiceCall { service, terms, skipped: 1, is_stream };
+    let call = ServiceCall { service, options, skipped_segments: 1, is_stream };
     outgoing_call(state, context, call, body, request).await
 }
 
-/// Without a header, calls that HTTP calls idempotent may be repeated and others may not.
+/// Returns the rule for calls without a `Quillcove-Repeatable` header: those of an idempotent HTTP
+/// method may be repeated, all others may not.
 fn default_repeat(method: &Method) -> RepeatRule {
     match method.is_idempotent() {
         true => RepeatRule::Repeatable,
@@ -254,13 +257,13 @@
     with_request_id(json_answer(&json!({ "object": "list", "data": models })), request)
 }
 
-/// Path of a wish for a ticket.
+/// Path of a request for a ticket.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct TicketPath {
     service: String,
 }
 
-/// Gets a ticket from one of the service's agents, drawn anew for each.
+/// Issues a ticket from one of the service's agents, chosen at random for each request.
 async fn issue_ticket(context: RequestContext<ServeContext>, path: Path<TicketPath>) -> WebAnswer {
     let state = context.context();
     let request = new_request();
@@ -274,9 +277,9 @@
         Err(error) => return reject(request, &error),
     }
     for control in ticket_issuers(state, &service) {
-        let issued =
+        let issue =
             |client: AgentControlClient, context| async move { client.issue_ticket(context).await };
-        if let Ok(Ok(ticket)) = state.pool.call(&control, TICKET_TIMEOUT, issued).await {
+        if let Ok(Ok(ticket)) = state.pool.call(&control, TICKET_TIMEOUT, issue).await {
             let answer = json_answer(&json!({ "object": "ticket", "ticket": ticket }));
             return with_request_id(answer, request);
         }
@@ -285,7 +288,8 @@
     reject(request, &AdmitError { reason, message: explain(reason).to_string() })
 }
 
-/// Control addresses of a few live agents of a service, in an order drawn anew.
+/// Returns the control addresses of up to [`TICKET_AGENT_LIMIT`] live agents of a service in random
+/// order.
 fn ticket_issuers(state: &ServeContext, service: &str) -> Vec<String> {
     let hosts = state.shelf.hosts();
     let target = RouteTarget::Service(service.to_string());
@@ -293,11 +297,11 @@
     let mut controls: Vec<String> =
         hosts.iter().filter(fits).map(|record| record.control.clone()).collect();
     rand::seq::SliceRandom::shuffle(controls.as_mut_slice(), &mut rand::rng());
-    controls.truncate(TICKET_TRIES);
+    controls.truncate(TICKET_AGENT_LIMIT);
     controls
 }
 
-/// Path of a question about a ticket.
+/// Path of a query for the state of a ticket.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct TicketStatePath {
     ticket: String,
@@ -315,13 +319,13 @@
         return reject(request, &AdmitError { reason: RefusalReason::BadRequest, message });
     };
     let unknown = WorkRefusal::may_have_run(RefusalReason::TicketUnknown);
-    let Some(control) = find_control(state, &ticket.owner).await else {
+    let Some(control) = find_control_address(state, &ticket.owner).await else {
         return with_request_id(refusal(&unknown, "the ticket's owner is not known"), request);
     };
-    let asked = |client: AgentControlClient, context| async move {
+    let fetch_state = |client: AgentControlClient, context| async move {
         client.ticket_state(context, text).await
     };
-    let answer = match state.pool.call(&control, TICKET_TIMEOUT, asked).await {
+    let answer = match state.pool.call(&control, TICKET_TIMEOUT, fetch_state).await {
         Ok(Ok(found)) => json_answer(&ticket_json(found)),
         Ok(Err(refused)) => refusal(&refused, explain(refused.reason)),
         Err(error) => refusal(&unknown, &error.to_string()),
