--- a/quillcove/src/agent/orders.rs
+++ b/quillcove/src/agent/orders.rs
@@ -1,4 +1,4 @@
-//! The duty that talks to the upstream about itself, and to the keeper of permits.
+//! The order thread of an agent: reads the upstream's reports, sends orders to the engine, and requests load permits.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -22,27 +22,27 @@
 use crate::web::client::WebClient;
 use crate::web::headers;
 
-/// Longest time for a report or a health check.
+/// Timeout of a report or a health check.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reports missed in a row after which the upstream counts as lost.
-const MISSES_ALLOWED: u32 = 2;
+/// Number of consecutive missed reports after which the upstream counts as lost.
+const MISSED_REPORT_LIMIT: u32 = 2;
 
-/// Longest time for a call to the keeper, which holds an ask for up to 400 ms.
-const KEEPER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of a call to the permit coordinator, which holds a request open for up to 400 ms.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What this duty is asked to do.
+/// A task of the order thread.
 #[derive(Clone, Debug)]
 pub enum OrderTask {
     /// Send an order to the engine.
     Send(EngineOrder),
-    /// Ask for a permit.
+    /// Request a permit for a load of this value.
     AskPermit(f64),
-    /// Give the permit back.
+    /// Return the permit.
     ReturnPermit,
 }
 
-/// State of the duty.
+/// State of the order thread.
 #[derive(Clone)]
 pub struct OrderDuty {
     settings: Arc<AgentSettings>,
@@ -64,7 +64,7 @@
         Self { settings, ring, shelf, metrics, client, pool: ControlPool::default() }
     }
 
-    /// Works until the deciding duty is gone.
+    /// Runs tasks and reads reports until the decision thread has ended.
     pub async fn run(self, mut tasks: mpsc::Receiver<OrderTask>) {
         let mut reports = interval(self.settings.upstream.report_interval);
         reports.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -75,36 +75,37 @@
                     None => return,
                     Some(task) => {
                         let duty = self.clone();
-                        tokio::spawn(async move { duty.work(task).await });
+                        tokio::spawn(async move { duty.run_task(task).await });
                     },
                 },
                 _ = reports.tick() => {
                     let is_answered = self.read_report().await;
                     misses = if is_answered { 0 } else { misses + 1 };
-                    if misses == MISSES_ALLOWED {
-                        self.tell(AgentEvent::UpstreamLost);
+                    if misses == MISSED_REPORT_LIMIT {
+                        self.send_event(AgentEvent::UpstreamLost);
                     }
                 },
             }
         }
     }
 
-    fn tell(&self, event: AgentEvent) {
+    fn send_event(&self, event: AgentEvent) {
         self.ring.put(AgentInput::Event(event));
     }
 
-    async fn work(&self, task: OrderTask) {
+    async fn run_task(&self, task: OrderTask) {
         match task {
-            OrderTask::Send(order) => self.send(order).await,
+            OrderTask::Send(order) => self.send_order(order).await,
             OrderTask::AskPermit(value) => {
                 let answer = self.ask_permit(value).await;
-                self.tell(AgentEvent::PermitAnswered(answer));
+                self.send_event(AgentEvent::PermitAnswered(answer));
             },
             OrderTask::ReturnPermit => self.return_permit().await,
         }
     }
 
-    /// Reads the engine's report, or checks a plain service; `false` without an answer.
+    /// Reads the engine's report, or checks the health of a plain service. Returns `false` if the response is missing,
+    /// not 200 or not a valid report.
     async fn read_report(&self) -> bool {
         let upstream = &self.settings.upstream;
         let path = match upstream.kind {
@@ -117,7 +118,8 @@
         if answer.status() != StatusCode::OK {
             return false;
         }
-        // A report is answered with 200, with which no rest is asked for, so that nothing of it can be odd.
+        // A requested pause is read only from a 503, so that a report, which has status 200, has none that could be
+        // invalid.
         let (notice, _) = headers::notice(answer.status(), answer.headers(), SystemTime::now());
         let report = match upstream.kind {
             UpstreamKind::Service => Some(EngineReport::default()),
@@ -126,14 +128,14 @@
         match report {
             Some(report) => {
                 let leaving = report.leaving || notice.is_leaving;
-                self.tell(AgentEvent::Reported(EngineReport { leaving, ..report }));
+                self.send_event(AgentEvent::Reported(EngineReport { leaving, ..report }));
                 true
             },
             None => false,
         }
     }
 
-    async fn send(&self, order: EngineOrder) {
+    async fn send_order(&self, order: EngineOrder) {
         let upstream = &self.settings.upstream;
         let uri = format!("http://{}/orders", upstream.address);
         let body = serde_json::to_vec(&order).unwrap_or_default();
@@ -147,41 +149,41 @@
             Ok(_) => OrderEnd::Failed,
             Err(_) => OrderEnd::Unknown,
         };
-        self.metrics.ordered(matches!(order.kind, OrderKind::Load(_)), end_label(end));
-        self.tell(AgentEvent::OrderEnded(order.fence, end));
+        self.metrics.ordered(matches!(order.kind, OrderKind::Load(_)), outcome_label(end));
+        self.send_event(AgentEvent::OrderEnded(order.fence, end));
     }
 
-    /// Asks the keeper. Without one, the agents' equal share of the rate applies, which needs
-    /// nobody.
+    /// Requests a permit from the coordinator. If there is none, or it does not answer, the load is delayed so that the
+    /// agent keeps to an equal share of the load rate, which needs no coordination.
     async fn ask_permit(&self, value: f64) -> PermitAnswer {
         let host = self.settings.process.host.clone();
         let ask = PermitAsk { host, value };
-        if let Some(keeper) = self.keeper() {
-            let asked = |client: AgentControlClient, context| async move {
+        if let Some(coordinator) = self.coordinator_address() {
+            let request = |client: AgentControlClient, context| async move {
                 client.ask_permit(context, ask).await
             };
-            if let Ok(answer) = self.pool.call(&keeper, KEEPER_TIMEOUT, asked).await {
+            if let Ok(answer) = self.pool.call(&coordinator, COORDINATOR_TIMEOUT, request).await {
                 return answer;
             }
         }
-        sleep(self.own_share()).await;
+        sleep(self.equal_share_interval()).await;
         PermitAnswer::Granted
     }
 
-    fn own_share(&self) -> Duration {
-        let limits = self.shelf.bundle().map(|held| held.content.loads).unwrap_or_default();
+    fn equal_share_interval(&self) -> Duration {
+        let limits = self.shelf.bundle().map(|bundle| bundle.content.loads).unwrap_or_default();
         let agents = self.engine_hosts().len().max(1);
         Duration::from_secs_f64(agents as f64 / limits.per_second)
     }
 
     async fn return_permit(&self) {
-        let Some(keeper) = self.keeper() else { return };
+        let Some(coordinator) = self.coordinator_address() else { return };
         let host = self.settings.process.host.clone();
-        let returned = |client: AgentControlClient, context| async move {
+        let request = |client: AgentControlClient, context| async move {
             client.return_permit(context, host).await
         };
-        // A permit that is not given back ends by itself.
-        let _ = self.pool.call(&keeper, KEEPER_TIMEOUT, returned).await;
+        // A permit that is not returned expires.
+        let _ = self.pool.call(&coordinator, COORDINATOR_TIMEOUT, request).await;
     }
 
     fn engine_hosts(&self) -> Vec<(String, String)> {
@@ -192,16 +194,16 @@
         engines.map(|record| (record.host.clone(), record.control.clone())).collect()
     }
 
-    /// Control address of the agent that keeps the permits.
-    fn keeper(&self) -> Option<String> {
+    /// Returns the control address of the agent that acts as the permit coordinator.
+    fn coordinator_address(&self) -> Option<String> {
         let hosts = self.engine_hosts();
         let names = hosts.iter().map(|(host, _)| host.as_str());
-        let keeper = rendezvous::first(KEEPER_KEY, names)?;
-        hosts.iter().find(|(host, _)| host == keeper).map(|(_, control)| control.clone())
+        let coordinator = rendezvous::first(KEEPER_KEY, names)?;
+        hosts.iter().find(|(host, _)| host == coordinator).map(|(_, control)| control.clone())
     }
 }
 
-fn end_label(end: OrderEnd) -> &'static str {
+fn outcome_label(end: OrderEnd) -> &'static str {
     match end {
         OrderEnd::Done => "done",
         OrderEnd::Stale(_) => "stale",
