--- a/quillcove/src/agent/decide.rs
+++ b/quillcove/src/agent/decide.rs
@@ -1,4 +1,5 @@
-//! The duty that decides: it owns the machine and carries its actions out.
+//! The decision thread of an agent: owns the [`AgentMachine`], feeds it every input and executes the actions that it
+//! returns.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,12 +24,12 @@
 use crate::duty;
 use crate::process::note_ready;
 
-/// State of the duty.
+/// State of the decision thread.
 pub struct DecideDuty {
     pub machine: AgentMachine,
     pub clock: MonoClock,
     pub order_tasks: mpsc::Sender<OrderTask>,
-    pub watch_asks: mpsc::Sender<WatchAsk>,
+    pub watch_requests: mpsc::Sender<WatchAsk>,
     pub halt: watch::Sender<bool>,
     pub is_ready: Arc<AtomicBool>,
     pub pending: HashMap<AttemptId, oneshot::Sender<AttemptDecision>>,
@@ -37,21 +38,22 @@
 }
 
 impl DecideDuty {
-    /// Starts the duty's thread.
+    /// Starts the decision thread, which calls the machine at least once per `tick`.
     pub fn spawn(mut self, inputs: Receiver<AgentInput>, tick: Duration) -> JoinHandle<()> {
-        duty::start("decide", inputs, tick, move |input| self.take(input))
+        duty::start("decide", inputs, tick, move |input| self.handle_input(input))
     }
 
-    fn take(&mut self, input: Option<AgentInput>) -> bool {
+    fn handle_input(&mut self, input: Option<AgentInput>) -> bool {
         match input {
             None => self.handle(AgentEvent::Ticked),
-            Some(AgentInput::Event(AgentEvent::Said(notice))) => self.take_notice(notice),
+            Some(AgentInput::Event(AgentEvent::Said(notice))) => self.record_notice(notice),
             Some(AgentInput::Event(event)) => self.handle(event),
-            Some(AgentInput::OddWord(fault)) => {
+            Some(AgentInput::InvalidNotice(fault)) => {
                 warn!(self.log, "word of the upstream not understood"; "fault" => fault);
             },
             Some(AgentInput::Attempt(order, decision)) => {
-                // A copy must not take the place of the first one's decision.
+                // The machine rejects a duplicate of an attempt at once. The rejection goes to the duplicate's handler;
+                // the first handler is put back afterwards to receive its own decision.
                 let attempt = order.attempt;
                 let first = self.pending.remove(&attempt);
                 self.pending.insert(attempt, decision);
@@ -85,14 +87,14 @@
         !*self.halt.borrow()
     }
 
-    /// Takes what the upstream said of itself; an upstream says the same with each answer, and what it changes is
-    /// worth a line.
-    fn take_notice(&mut self, notice: UpstreamNotice) {
-        let wanted_work = self.machine.wants_work(self.clock.now());
+    /// Passes an upstream notice to the machine. An upstream repeats its notice with each response, so a log line is
+    /// written only when the notice stops work or changes the rate limit.
+    fn record_notice(&mut self, notice: UpstreamNotice) {
+        let accepted_work = self.machine.wants_work(self.clock.now());
         let before = self.machine.upstream_limit();
         self.handle(AgentEvent::Said(notice));
-        let is_turned_away = wanted_work && !self.machine.wants_work(self.clock.now());
-        if is_turned_away || before != self.machine.upstream_limit() {
+        let stops_work = accepted_work && !self.machine.wants_work(self.clock.now());
+        if stops_work || before != self.machine.upstream_limit() {
             info!(self.log, "upstream said of itself"; "is_leaving" => notice.is_leaving,
                 "rest_ms" => notice.rest.map(|rest| rest.as_millis() as u64),
                 "limit" => notice.limit.map(RateLimit::rate));
@@ -103,34 +105,34 @@
         let mut actions = Vec::new();
         self.machine.handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         note_ready(&self.is_ready, self.machine.is_ready(), &self.log);
     }
 
-    fn carry_out(&mut self, action: AgentAction) {
+    fn execute(&mut self, action: AgentAction) {
         match action {
             AgentAction::Start(attempt) => {
-                if !self.decide(attempt, Ok(())) {
+                if !self.send_decision(attempt, Ok(())) {
                     self.handle(AgentEvent::Ended(attempt, RunEnd::NotRun));
                 }
             },
             AgentAction::Refuse(attempt, refusal) => {
-                self.decide(attempt, Err(refusal));
+                self.send_decision(attempt, Err(refusal));
             },
             AgentAction::AnswerWithdrawal(attempt, answer) => {
-                for waiting in self.withdrawals.remove(&attempt).unwrap_or_default() {
-                    let _ = waiting.send(answer);
+                for reply in self.withdrawals.remove(&attempt).unwrap_or_default() {
+                    let _ = reply.send(answer);
                 }
             },
-            AgentAction::Send(order) => self.order(OrderTask::Send(order)),
-            AgentAction::AskPermit(value) => self.order(OrderTask::AskPermit(value)),
-            AgentAction::ReturnPermit => self.order(OrderTask::ReturnPermit),
+            AgentAction::Send(order) => self.queue_task(OrderTask::Send(order)),
+            AgentAction::AskPermit(value) => self.queue_task(OrderTask::AskPermit(value)),
+            AgentAction::ReturnPermit => self.queue_task(OrderTask::ReturnPermit),
             AgentAction::ReadHosts => {
-                let _ = self.watch_asks.try_send(WatchAsk::ReadHosts);
+                let _ = self.watch_requests.try_send(WatchAsk::ReadHosts);
             },
             AgentAction::WitnessBundle(version) => {
-                let _ = self.watch_asks.try_send(WatchAsk::Witness(version));
+                let _ = self.watch_requests.try_send(WatchAsk::Witness(version));
             },
             AgentAction::Stopped => {
                 info!(self.log, "agent stopped");
@@ -139,17 +141,17 @@
         }
     }
 
-    /// Gives a decision to its handler; `false` when the handler is gone.
-    fn decide(&mut self, attempt: AttemptId, verdict: Result<(), WorkRefusal>) -> bool {
-        let Some(waiting) = self.pending.remove(&attempt) else {
+    /// Sends a decision to the handler that waits for it; returns `false` when the handler is gone.
+    fn send_decision(&mut self, attempt: AttemptId, verdict: Result<(), WorkRefusal>) -> bool {
+        let Some(reply) = self.pending.remove(&attempt) else {
             return false;
         };
-        waiting.send(AttemptDecision { verdict, news: self.machine.news() }).is_ok()
+        reply.send(AttemptDecision { verdict, update: self.machine.news() }).is_ok()
     }
 
-    /// The machine has few orders out, so this ring is never full for long; an order that finds
-    /// no place counts as unanswered.
-    fn order(&mut self, task: OrderTask) {
+    /// Queues a task for the order thread. The machine has few orders outstanding, so the queue is never full for
+    /// long; an engine order that does not fit ends with an unknown outcome, as if it were unanswered.
+    fn queue_task(&mut self, task: OrderTask) {
         let Err(mpsc::error::TrySendError::Full(task)) = self.order_tasks.try_send(task) else {
             return;
         };
--- a/quillcove/src/agent/input.rs
+++ b/quillcove/src/agent/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the deciding duty of an agent.
+//! Inputs of an agent's decision thread and the decisions that it returns to request handlers.
 
 use quillcove_core::agent::event::{AgentEvent, RunOrder, WithdrawAnswer};
 use quillcove_core::agent::view::AgentView;
@@ -8,33 +8,32 @@
 use quillcove_core::verdict::WorkRefusal;
 use tokio::sync::oneshot;
 
-/// What the deciding duty takes.
+/// An input of the decision thread.
 pub enum AgentInput {
     /// An event for the machine.
     Event(AgentEvent),
-    /// What of an upstream's word about itself is not understood.
-    OddWord(String),
-    /// An attempt, with the place for the decision.
+    /// Describes a header with which an upstream reports its status and that could not be parsed.
+    InvalidNotice(String),
+    /// An attempt, with the channel for its decision.
     Attempt(RunOrder, oneshot::Sender<AttemptDecision>),
-    /// The handler of an attempt is gone before it handed the attempt to the upstream.
+    /// The handler of an attempt was dropped before it passed the attempt to the upstream.
     Abandoned(AttemptId, Incarnation),
-    /// A withdrawal, with the place for its answer.
+    /// The withdrawal of an attempt, with the channel for its answer.
     Withdraw(AttemptId, Incarnation, oneshot::Sender<WithdrawAnswer>),
-    /// A wish for a ticket.
+    /// A request for a new ticket.
     IssueTicket(oneshot::Sender<String>),
-    /// A question about a ticket.
+    /// A query for the state of a ticket.
     TicketState(String, oneshot::Sender<Result<Option<OnceState>, WorkRefusal>>),
-    /// A wish for the whole state.
+    /// A request for a snapshot of the machine's state.
     Dump(oneshot::Sender<AgentView>),
-    /// End now.
+    /// Ends the thread without completing what is in flight.
     Halt,
 }
 
-/// What becomes of an attempt, with the agent's news of that moment.
+/// The decision on an attempt, with the agent's state update at that moment.
 #[derive(Debug)]
 pub struct AttemptDecision {
-    /// `Ok` when it is to be handed to the upstream.
+    /// `Ok` if the attempt is to be passed to the upstream.
     pub verdict: Result<(), WorkRefusal>,
-    /// News.
-    pub news: AgentNews,
+    pub update: AgentNews,
 }
--- a/quillcove/src/agent/mod.rs
+++ b/quillcove/src/agent/mod.rs
@@ -91,7 +91,7 @@
         let shelf = FleetShelf::default();
         let (ring, inputs) = DutyRing::new(RING_PLACES);
         let (order_tasks, order_receiver) = mpsc::channel(TASK_PLACES);
-        let (watch_asks, watch_receiver) = mpsc::channel(TASK_PLACES);
+        let (watch_requests, watch_receiver) = mpsc::channel(TASK_PLACES);
         let (halt, halted) = watch::channel(false);
         let is_ready = Arc::new(AtomicBool::new(false));
 
@@ -100,7 +100,7 @@
             machine,
             clock,
             order_tasks,
-            watch_asks,
+            watch_requests,
             halt: halt.clone(),
             is_ready: is_ready.clone(),
             pending: Default::default(),
--- a/quillcove/src/agent/serve.rs
+++ b/quillcove/src/agent/serve.rs
@@ -30,36 +30,36 @@
 use crate::web::headers;
 use crate::web::server::{self, RestPath, register_any_method};
 
-/// Largest body of an attempt, in bytes; the entry's limit is what callers meet.
-const BODY_LIMIT: usize = 64 << 20;
+/// Maximum body size of an attempt, in bytes. Callers are bound by the entry's limit.
+const REQUEST_BODY_LIMIT: usize = 64 << 20;
 
-/// Largest answer of a plain service, in bytes.
-const ANSWER_LIMIT: usize = 16 << 20;
+/// Maximum body size of a plain service's response, in bytes.
+const RESPONSE_BODY_LIMIT: usize = 16 << 20;
 
-/// Longest time for a connection to the upstream.
+/// Timeout for connecting to the upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time that unused connections to the upstream are kept.
-const IDLE_TIME: Duration = Duration::from_secs(5);
+/// Time after which idle connections to the upstream are closed.
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for an attempt that names none.
+/// Deadline of an attempt that specifies none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// Longest time that the answer of a run that must not happen twice is awaited after its
-/// deadline, so that its outcome is known.
-const OUTCOME_TIME: Duration = Duration::from_secs(60);
+/// Time beyond its deadline for which the agent waits for a plain service's response, so that the outcome of a run
+/// that must not happen twice is known.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What the handlers share.
+/// State shared by the request handlers.
 #[derive(Clone)]
 pub struct ServeContext {
     settings: Arc<AgentSettings>,
     ring: DutyRing<AgentInput>,
     clock: MonoClock,
     metrics: Arc<ProcessMetrics>,
-    /// Reuses connections.
+    /// Client that reuses connections.
     client: WebClient,
-    /// Makes a connection for each call. A kept one may close at any moment, and a run that must
-    /// not happen twice would then end as one that may have happened.
+    /// Client that opens a connection for each call. The upstream may close a reused connection at any moment, and
+    /// for a run that must not happen twice the outcome would then be uncertain.
     once_client: WebClient,
 }
 
@@ -70,7 +70,7 @@
         clock: MonoClock,
         metrics: Arc<ProcessMetrics>,
     ) -> Self {
-        let client = WebClient::new(CONNECT_TIMEOUT, IDLE_TIME);
+        let client = WebClient::new(CONNECT_TIMEOUT, IDLE_CONNECTION_TIMEOUT);
         let once_client = WebClient::new(CONNECT_TIMEOUT, Duration::ZERO);
         Self { settings, ring, clock, metrics, client, once_client }
     }
@@ -83,12 +83,12 @@
         self.settings.listen.clone()
     }
 
-    /// Takes what the upstream says of itself with an answer to an attempt.
-    fn note_said(&self, attempt: AttemptId, status: StatusCode, headers: &HeaderMap) {
+    /// Records the upstream status that a response to an attempt carries in its headers.
+    fn record_notice(&self, attempt: AttemptId, status: StatusCode, headers: &HeaderMap) {
         let (notice, fault) = headers::notice(status, headers, SystemTime::now());
         let is_plain = notice.limit.is_none() && fault.is_none();
         if let Some(fault) = fault {
-            self.ring.put(AgentInput::OddWord(fault));
+            self.ring.put(AgentInput::InvalidNotice(fault));
         }
         if is_plain && status.is_success() {
             self.ring.put(AgentInput::Event(AgentEvent::NamedNoLimit(attempt)));
@@ -99,12 +99,12 @@
         }
     }
 
-    fn end(&self, attempt: AttemptId, end: RunEnd) {
+    fn report_end(&self, attempt: AttemptId, end: RunEnd) {
         self.ring.put(AgentInput::Event(AgentEvent::Ended(attempt, end)));
     }
 }
 
-/// Gives up an attempt whose handler goes before it was handed to the upstream.
+/// Reports an attempt as abandoned if its handler is dropped before the attempt is passed to the upstream.
 struct AttemptGuard {
     ring: DutyRing<AgentInput>,
     attempt: AttemptId,
@@ -120,7 +120,7 @@
     }
 }
 
-/// One attempt as it goes to the upstream.
+/// The HTTP request that an attempt makes to the upstream.
 struct UpstreamCall {
     method: Method,
     uri: String,
@@ -128,18 +128,18 @@
     body: Bytes,
 }
 
-async fn take_attempt(
+async fn handle_attempt(
     context: RequestContext<ServeContext>,
     _path: Path<RestPath>,
     body: StreamingBody,
 ) -> WebAnswer {
     let state = context.context().clone();
     let request = &context.request;
-    let order = match read_order(&state, request.headers()) {
+    let order = match parse_order(&state, request.headers()) {
         Ok(order) => order,
         Err(message) => {
             let bad = WorkRefusal::not_run(RefusalReason::BadRequest, None);
-            return mark_refused(refusal(&bad, &message), None);
+            return mark_rejected(refusal(&bad, &message), None);
         },
     };
     let rest = server::rest_of(request.uri(), 1);
@@ -153,7 +153,7 @@
     run_attempt(state, order, call).await
 }
 
-/// Waits for the decision and hands the attempt to the upstream.
+/// Waits for the decision on an attempt and passes the attempt to the upstream.
 async fn run_attempt(state: ServeContext, order: RunOrder, call: UpstreamCall) -> WebAnswer {
     let attempt = order.attempt;
     let class = order.class;
@@ -174,25 +174,25 @@
     let (sender, receiver) = oneshot::channel();
     if state.ring.offer(AgentInput::Attempt(order, sender)).is_err() {
         let full = WorkRefusal::overloaded();
-        return mark_refused(refusal(&full, explain(full.reason)), None);
+        return mark_rejected(refusal(&full, explain(full.reason)), None);
     }
-    let Ok(AttemptDecision { verdict, news }) = receiver.await else {
+    let Ok(AttemptDecision { verdict, update }) = receiver.await else {
         let gone = WorkRefusal::may_have_run(RefusalReason::Leaving);
-        return mark_refused(refusal(&gone, explain(gone.reason)), None);
+        return mark_rejected(refusal(&gone, explain(gone.reason)), None);
     };
     guard.is_armed = false;
     if let Err(refused) = verdict {
         state.metrics.refused(refused.reason, class);
-        return mark_refused(refusal(&refused, explain(refused.reason)), Some(&news));
+        return mark_rejected(refusal(&refused, explain(refused.reason)), Some(&update));
     }
     let waited = state.clock.now().saturating_sub(arrived);
     state.metrics.stalled(class, waited);
     let answer = match target {
-        WorkTarget::Adapter(_) => pass_to_engine(state, attempt, class, call, news).await,
+        WorkTarget::Adapter(_) => stream_from_engine(state, attempt, class, call, update).await,
         WorkTarget::Service => {
-            let limit = deadline.saturating_sub(state.clock.now()) + OUTCOME_TIME;
-            let exchange = timed_exchange(client, upstream_request(call)?, limit);
-            pass_to_service(state, attempt, class, exchange, news).await
+            let limit = deadline.saturating_sub(state.clock.now()) + OUTCOME_TIMEOUT;
+            let exchange = exchange_with_timeout(client, upstream_request(call)?, limit);
+            call_service(state, attempt, class, exchange, update).await
         },
     };
     let mut response = answer?;
@@ -201,24 +201,24 @@
     Ok(response)
 }
 
-/// Streams an engine's answer. When the caller goes, the connection to the engine is dropped,
-/// which cancels the request there.
-async fn pass_to_engine(
+/// Streams an engine's response. When the caller disconnects, the connection to the engine is closed, which cancels
+/// the request there.
+async fn stream_from_engine(
     state: ServeContext,
     attempt: AttemptId,
     class: WorkClass,
     call: UpstreamCall,
-    news: AgentNews,
+    update: AgentNews,
 ) -> WebAnswer {
-    let mut end_guard = EndGuard { state: state.clone(), attempt, end: Some(RunEnd::Broken) };
+    let mut end_guard = RunEndGuard { state: state.clone(), attempt, end: Some(RunEnd::Broken) };
     let response = match state.client.send(upstream_request(call)?).await {
         Ok(response) => response,
-        Err(error) => return end_guard.fail(&error, &news),
+        Err(error) => return end_guard.fail(&error, &update),
     };
-    state.note_said(attempt, response.status(), response.headers());
+    state.record_notice(attempt, response.status(), response.headers());
     if response.status() == StatusCode::NOT_FOUND {
-        // The engine restarted empty or lost the adapter: it said that it did not run.
-        return end_guard.fail(&WebError::Status(StatusCode::NOT_FOUND), &news);
+        // The engine restarted without its adapters or lost this one; the status means that the request did not run.
+        return end_guard.fail(&WebError::Status(StatusCode::NOT_FOUND), &update);
     }
     end_guard.end = None;
     let started = state.clock.now();
@@ -230,99 +230,101 @@
             BodyEnd::Broken | BodyEnd::Dropped => RunEnd::Broken,
         };
         state.metrics.finished(verdict_of(end), class, state.clock.now().saturating_sub(started));
-        state.end(attempt, end);
+        state.report_end(attempt, end);
     });
-    answer(parts, Body::wrap(body), &news)
+    upstream_response(parts, Body::wrap(body), &update)
 }
 
-/// Calls a plain service in a task of its own: once begun, the call is seen through to its end
-/// whatever the caller does, so that its outcome is known.
-async fn pass_to_service(
+/// Calls a plain service in a separate task: once begun, the call is completed even if the caller disconnects, so
+/// that its outcome is known.
+async fn call_service(
     state: ServeContext,
     attempt: AttemptId,
     class: WorkClass,
-    exchange: impl Future<Output = Result<WholeAnswer, WebError>> + Send + 'static,
-    news: AgentNews,
+    exchange: impl Future<Output = Result<BufferedResponse, WebError>> + Send + 'static,
+    update: AgentNews,
 ) -> WebAnswer {
     let task = tokio::spawn(async move {
         let started = state.clock.now();
         let exchange = exchange.await;
         if let Ok((parts, _)) = &exchange {
-            state.note_said(attempt, parts.status, &parts.headers);
+            state.record_notice(attempt, parts.status, &parts.headers);
         }
         let end = match &exchange {
             Ok((parts, _)) => RunEnd::Complete(parts.status.as_u16()),
-            Err(error) => end_of(error),
+            Err(error) => run_end(error),
         };
         state.metrics.finished(verdict_of(end), class, state.clock.now().saturating_sub(started));
-        state.end(attempt, end);
+        state.report_end(attempt, end);
         exchange
     });
     match task.await.map_err(internal)? {
-        Ok((parts, body)) => answer(parts, Body::from(body), &news),
-        Err(error) => failure(&error, &news),
+        Ok((parts, body)) => upstream_response(parts, Body::from(body), &update),
+        Err(error) => error_response(&error, &update),
     }
 }
 
-/// Head and body of an answer.
-type WholeAnswer = (http::response::Parts, Bytes);
+/// Head and complete body of a response.
+type BufferedResponse = (http::response::Parts, Bytes);
 
-async fn timed_exchange(
+async fn exchange_with_timeout(
     client: WebClient,
     request: Request<Full<Bytes>>,
     limit: Duration,
-) -> Result<WholeAnswer, WebError> {
+) -> Result<BufferedResponse, WebError> {
     let exchange = async {
         let (parts, body) = client.send(request).await?.into_parts();
-        let body = http_body_util::Limited::new(body, ANSWER_LIMIT).collect().await;
+        let body = http_body_util::Limited::new(body, RESPONSE_BODY_LIMIT).collect().await;
         let body = body.map_err(|error| WebError::Lost(error.to_string()))?;
         Ok((parts, body.to_bytes()))
     };
     let exchange = tokio::time::timeout(limit, exchange).await;
-    exchange.unwrap_or_else(|_| Err(WebError::Lost("time is up".to_string())))
+    exchange.unwrap_or_else(|_| {
+        Err(WebError::Lost("no complete response within the time limit".to_string()))
+    })
 }
 
-/// Reports the end of a run whose answer never began.
-struct EndGuard {
+/// Reports the end of a run if no response has begun when the guard is dropped.
+struct RunEndGuard {
     state: ServeContext,
     attempt: AttemptId,
     end: Option<RunEnd>,
 }
 
-impl EndGuard {
-    fn fail(&mut self, error: &WebError, news: &AgentNews) -> WebAnswer {
-        self.end = Some(end_of(error));
-        failure(error, news)
+impl RunEndGuard {
+    fn fail(&mut self, error: &WebError, update: &AgentNews) -> WebAnswer {
+        self.end = Some(run_end(error));
+        error_response(error, update)
     }
 }
 
-impl Drop for EndGuard {
+impl Drop for RunEndGuard {
     fn drop(&mut self) {
         if let Some(end) = self.end {
-            self.state.end(self.attempt, end);
+            self.state.report_end(self.attempt, end);
         }
     }
 }
 
-/// What an error means for the run: only a connection that was never made, or an upstream that
-/// says so, makes it certain that nothing ran.
-fn end_of(error: &WebError) -> RunEnd {
+/// Returns what an error means for the run: only if no connection was made, or if the upstream reports so, is it
+/// certain that nothing ran.
+fn run_end(error: &WebError) -> RunEnd {
     match error {
         WebError::NotSent(_) | WebError::Status(_) => RunEnd::NotRun,
         WebError::Lost(_) => RunEnd::Broken,
     }
 }
 
-fn failure(error: &WebError, news: &AgentNews) -> WebAnswer {
+fn error_response(error: &WebError, update: &AgentNews) -> WebAnswer {
     let soon = Some(SOON);
-    let refused = match (end_of(error), error) {
+    let refused = match (run_end(error), error) {
         (RunEnd::NotRun, WebError::Status(_)) => {
             WorkRefusal::not_run(RefusalReason::LoadFailed, soon)
         },
         (RunEnd::NotRun, _) => WorkRefusal::not_run(RefusalReason::UpstreamDown, soon),
         _ => WorkRefusal::may_have_run(RefusalReason::UpstreamBroke),
     };
-    mark_refused(refusal(&refused, explain(refused.reason)), Some(news))
+    mark_rejected(refusal(&refused, explain(refused.reason)), Some(update))
 }
 
 fn upstream_request(call: UpstreamCall) -> Result<Request<Full<Bytes>>, dropshot::HttpError> {
@@ -333,35 +335,35 @@
     request.body(Full::new(call.body)).map_err(internal)
 }
 
-/// The upstream's answer with the agent's news.
-fn answer(parts: http::response::Parts, body: Body, news: &AgentNews) -> WebAnswer {
+/// Returns the upstream's response with the agent's state update.
+fn upstream_response(parts: http::response::Parts, body: Body, update: &AgentNews) -> WebAnswer {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
     *response.headers_mut() = headers::passed(&parts.headers);
     let verdict = header::HeaderValue::from_static(RunVerdict::Ran.label());
     response.headers_mut().insert(headers::VERDICT, verdict);
-    add_news(&mut response, news);
+    attach_update(&mut response, update);
     Ok(response)
 }
 
-fn mark_refused(answer: WebAnswer, news: Option<&AgentNews>) -> WebAnswer {
+fn mark_rejected(answer: WebAnswer, update: Option<&AgentNews>) -> WebAnswer {
     let mut response = answer?;
     let mark = header::HeaderValue::from_static("yes");
     response.headers_mut().insert(headers::REFUSED, mark);
-    if let Some(news) = news {
-        add_news(&mut response, news);
+    if let Some(update) = update {
+        attach_update(&mut response, update);
     }
     Ok(response)
 }
 
-fn add_news(response: &mut Response<Body>, news: &AgentNews) {
-    let text = serde_json::to_string(news).unwrap_or_default();
+fn attach_update(response: &mut Response<Body>, update: &AgentNews) {
+    let text = serde_json::to_string(update).unwrap_or_default();
     if let Ok(value) = header::HeaderValue::from_str(&text) {
         response.headers_mut().insert(headers::NEWS, value);
     }
 }
 
-fn read_order(state: &ServeContext, headers: &HeaderMap) -> Result<RunOrder, String> {
+fn parse_order(state: &ServeContext, headers: &HeaderMap) -> Result<RunOrder, String> {
     let number = |name: &str| {
         let text = headers::text(headers, name);
         let number = text.and_then(|text| u128::from_str_radix(text, 16).ok());
@@ -385,13 +387,13 @@
         target,
         class: class.unwrap_or_default(),
         deadline: state.clock.now() + limit,
-        claim: read_claim(headers, &caller),
+        claim: parse_claim(headers, &caller),
         identity: headers::text(headers, headers::IDENTITY).and_then(|text| text.parse().ok()),
         caller,
     })
 }
 
-fn read_claim(headers: &HeaderMap, caller: &str) -> Option<OnceClaim> {
+fn parse_claim(headers: &HeaderMap, caller: &str) -> Option<OnceClaim> {
     let is_once = headers::text(headers, headers::REPEATABLE) == Some("no");
     let ticket = headers::text(headers, headers::TICKET);
     let key = headers::text(headers, headers::KEY);
@@ -405,7 +407,7 @@
 /// Starts the server for attempts.
 pub fn start(context: ServeContext, log: &Logger) -> eyre::Result<HttpServer<ServeContext>> {
     let mut api = ApiDescription::new();
-    register_any_method!(api, "run", "/run/{path:.*}", take_attempt);
+    register_any_method!(api, "run", "/run/{path:.*}", handle_attempt);
     let address: SocketAddr = context.settings.listen.data;
-    server::start(api, context, address, BODY_LIMIT, &quiet(log))
+    server::start(api, context, address, REQUEST_BODY_LIMIT, &quiet(log))
 }
