--- a/quillcove/src/agent/calls.rs
+++ b/quillcove/src/agent/calls.rs
@@ -1,4 +1,4 @@
-//! Answers of an agent to other quillcove processes.
+//! The RPC service that an agent offers to other quillcove processes: withdrawals, tickets, load permits and bundles.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -23,64 +23,65 @@
 use crate::control::AgentControl;
 use crate::duty::DutyRing;
 
-/// Longest time that an ask for a permit is held.
-const ASK_HOLD: Duration = Duration::from_millis(400);
+/// Longest time for which a permit request is held open.
+const PERMIT_WAIT_LIMIT: Duration = Duration::from_millis(400);
 
-/// Time after which a held ask is looked at again, because the rate allows more with time.
-const ASK_RECHECK: Duration = Duration::from_millis(15);
+/// Interval at which a held permit request is evaluated again, because the rate limit refills with time.
+const PERMIT_RECHECK_INTERVAL: Duration = Duration::from_millis(15);
 
-/// What the answers need.
+/// Server side of [`AgentControl`].
 #[derive(Clone)]
-pub struct ControlAnswers {
+pub struct ControlService {
     pub ring: DutyRing<AgentInput>,
     pub shelf: FleetShelf,
-    pub keeper: Arc<KeeperDesk>,
+    pub permits: Arc<PermitService>,
     pub clock: MonoClock,
 }
 
-/// The keeper of permits with those who wait for one.
-pub struct KeeperDesk {
-    keeper: Mutex<PermitKeeper>,
-    freed: Notify,
+/// The permit coordinator, with a notification for the requests that wait for a permit.
+pub struct PermitService {
+    coordinator: Mutex<PermitKeeper>,
+    released: Notify,
 }
 
-impl KeeperDesk {
-    pub fn new(keeper: PermitKeeper) -> Self {
-        Self { keeper: Mutex::new(keeper), freed: Notify::new() }
+impl PermitService {
+    pub fn new(coordinator: PermitKeeper) -> Self {
+        Self { coordinator: Mutex::new(coordinator), released: Notify::new() }
     }
 
-    fn keeper(&self) -> MutexGuard<'_, PermitKeeper> {
-        self.keeper.lock().expect("no holder panics")
+    fn lock_coordinator(&self) -> MutexGuard<'_, PermitKeeper> {
+        self.coordinator.lock().expect("no holder panics")
     }
 
-    /// Holds an ask for a while rather than have its agent come back: a permit that becomes free
-    /// goes on at once. With many asks each keeps to the keeper's pace instead.
-    async fn ask(&self, clock: &MonoClock, ask: &PermitAsk) -> PermitAnswer {
-        let until = clock.now() + ASK_HOLD;
+    /// Holds a request open for up to [`PERMIT_WAIT_LIMIT`] instead of making its agent retry, so that a released
+    /// permit is granted again at once. With many requests the coordinator is crowded; each is then answered at once,
+    /// and its agent retries after the interval in the answer.
+    async fn request_permit(&self, clock: &MonoClock, request: &PermitAsk) -> PermitAnswer {
+        let deadline = clock.now() + PERMIT_WAIT_LIMIT;
         loop {
-            let freed = self.freed.notified();
-            let answer = self.keeper().ask(clock.now(), ask);
-            if answer == PermitAnswer::Granted || self.keeper().is_crowded() {
+            let released = self.released.notified();
+            let answer = self.lock_coordinator().ask(clock.now(), request);
+            if answer == PermitAnswer::Granted || self.lock_coordinator().is_crowded() {
                 return answer;
             }
-            if clock.now() > until {
+            if clock.now() > deadline {
                 return PermitAnswer::Wait(Duration::ZERO);
             }
-            let _ = timeout(ASK_RECHECK, freed).await;
+            let _ = timeout(PERMIT_RECHECK_INTERVAL, released).await;
         }
     }
 }
 
-impl ControlAnswers {
-    /// Puts a question to the deciding duty.
-    async fn ask<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> AgentInput) -> Option<T> {
+impl ControlService {
+    /// Sends an input to the decision thread and waits for the answer; `None` if the queue is full or the thread ended.
+    async fn query<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> AgentInput) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
         self.ring.offer(input(sender)).ok()?;
         receiver.await.ok()
     }
 }
 
-impl AgentControl for ControlAnswers {
+impl AgentControl for ControlService {
     async fn withdraw(
         self,
         _: Context,
@@ -88,11 +89,11 @@
         incarnation: Incarnation,
     ) -> WithdrawAnswer {
         let input = |answer| AgentInput::Withdraw(attempt, incarnation, answer);
-        self.ask(input).await.unwrap_or(WithdrawAnswer::MayHaveRun)
+        self.query(input).await.unwrap_or(WithdrawAnswer::MayHaveRun)
     }
 
     async fn issue_ticket(self, _: Context) -> Result<String, WorkRefusal> {
-        self.ask(AgentInput::IssueTicket).await.ok_or(WorkRefusal::overloaded())
+        self.query(AgentInput::IssueTicket).await.ok_or(WorkRefusal::overloaded())
     }
 
     async fn ticket_state(
@@ -102,41 +103,44 @@
     ) -> Result<Option<OnceState>, WorkRefusal> {
         let input = |answer| AgentInput::TicketState(ticket, answer);
         let unknown = WorkRefusal::may_have_run(RefusalReason::Overloaded);
-        self.ask(input).await.unwrap_or(Err(unknown))
+        self.query(input).await.unwrap_or(Err(unknown))
     }
 
     async fn ask_permit(self, _: Context, ask: PermitAsk) -> PermitAnswer {
-        let limits = self.shelf.bundle().map(|held| held.content.loads);
+        let limits = self.shelf.bundle().map(|bundle| bundle.content.loads);
         if let Some(limits) = limits {
-            self.keeper.keeper().set_limits(limits);
+            self.permits.lock_coordinator().set_limits(limits);
         }
-        self.keeper.ask(&self.clock, &ask).await
+        self.permits.request_permit(&self.clock, &ask).await
     }
 
     async fn return_permit(self, _: Context, host: HostId) {
-        self.keeper.keeper().give_back(&host);
-        self.keeper.freed.notify_waiters();
+        self.permits.lock_coordinator().give_back(&host);
+        self.permits.released.notify_waiters();
     }
 
     async fn bundle_head(self, _: Context) -> Option<BundleHead> {
-        self.shelf.bundle().map(|held| held.head)
+        self.shelf.bundle().map(|bundle| bundle.head)
     }
 
     async fn bundle_text(self, _: Context, digest: String) -> Option<String> {
-        let held = self.shelf.bundle().filter(|held| held.head.digest == digest);
-        held.map(|held| held.text.to_string())
+        let bundle = self.shelf.bundle().filter(|bundle| bundle.head.digest == digest);
+        bundle.map(|bundle| bundle.text.to_string())
     }
 }
 
-/// Answers calls until the process ends, and returns the address that was bound.
-pub async fn serve(address: SocketAddr, answers: ControlAnswers) -> std::io::Result<SocketAddr> {
+/// Binds the address, serves calls in the background until the process ends, and returns the bound address.
+pub async fn serve(
+    address: SocketAddr,
+    control_service: ControlService,
+) -> std::io::Result<SocketAddr> {
     let mut incoming = tarpc::serde_transport::tcp::listen(address, Bincode::default).await?;
     let bound = incoming.local_addr();
     tokio::spawn(async move {
         while let Some(transport) = incoming.next().await {
             let Ok(transport) = transport else { continue };
             let channel = BaseChannel::with_defaults(transport);
-            let calls = channel.execute(answers.clone().serve());
+            let calls = channel.execute(control_service.clone().serve());
             tokio::spawn(calls.for_each(|call| async move {
                 tokio::spawn(call);
             }));
--- a/quillcove/src/agent/mod.rs
+++ b/quillcove/src/agent/mod.rs
@@ -1,8 +1,8 @@
-//! The agent: one process beside one upstream.
+//! The agent: a process that runs beside one upstream and admits, queues and passes on its requests.
 //!
-//! Duties: `decide` owns the machine; `serve` passes attempts to the upstream and answers other
-//! processes and operators; `orders` talks to the engine and the keeper of permits; `watch`
-//! follows the platform.
+//! It consists of four threads: `decide` owns the state machine; `serve` passes attempts to the upstream and answers
+//! other processes and operators; `orders` communicates with the engine and the permit coordinator; `watch` follows
+//! the platform's configuration.
 
 mod calls;
 mod decide;
@@ -25,7 +25,7 @@
 use slog::{Logger, info};
 use tokio::sync::{mpsc, watch};
 
-use self::calls::{ControlAnswers, KeeperDesk};
+use self::calls::{ControlService, PermitService};
 use self::decide::DecideDuty;
 use self::input::AgentInput;
 use self::orders::OrderDuty;
@@ -40,27 +40,27 @@
 use crate::platform::HttpPlatform;
 use crate::process::{DumpInspector, ProcessHandle, close_when_halted};
 
-/// Events that may wait for the deciding duty.
-const RING_PLACES: usize = 4096;
+/// Number of inputs that may wait for the decision thread.
+const INPUT_QUEUE_CAPACITY: usize = 4096;
 
-/// Tasks that may wait for the other duties.
-const TASK_PLACES: usize = 256;
+/// Number of tasks that may wait for the order thread, and for the watch thread.
+const TASK_QUEUE_CAPACITY: usize = 256;
 
-/// Time between ticks of the machine.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval between ticks of the machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running agent.
 pub struct AgentProcess {
     /// Address for attempts.
     pub data: SocketAddr,
-    /// Address for calls of other quillcove processes.
+    /// Address for calls from other quillcove processes.
     pub control: SocketAddr,
     /// Address for operators.
     pub operator: SocketAddr,
     handle: ProcessHandle<AgentInput>,
 }
 
-/// Addresses that the serving duty has bound.
+/// Addresses that the server thread has bound.
 struct BoundAddresses {
     data: SocketAddr,
     control: SocketAddr,
@@ -68,11 +68,11 @@
 }
 
 impl AgentProcess {
-    /// Starts all duties.
+    /// Starts the agent's threads and returns once all addresses are bound.
     ///
     /// # Errors
     ///
-    /// When an address can not be bound, as when another agent runs on this host already.
+    /// Fails if an address cannot be bound, for example because another agent already runs on this host.
     ///
     /// ```
     /// use quillcove::agent::AgentProcess;
@@ -89,13 +89,13 @@
         let settings = Arc::new(settings);
         let metrics = Arc::new(ProcessMetrics::new("agent")?);
         let shelf = FleetShelf::default();
-        let (ring, inputs) = DutyRing::new(RING_PLACES);
-        let (order_tasks, order_receiver) = mpsc::channel(TASK_PLACES);
-        let (watch_requests, watch_receiver) = mpsc::channel(TASK_PLACES);
+        let (ring, inputs) = DutyRing::new(INPUT_QUEUE_CAPACITY);
+        let (order_tasks, order_receiver) = mpsc::channel(TASK_QUEUE_CAPACITY);
+        let (watch_requests, watch_receiver) = mpsc::channel(TASK_QUEUE_CAPACITY);
         let (halt, halted) = watch::channel(false);
         let is_ready = Arc::new(AtomicBool::new(false));
 
-        let machine = machine(&settings, incarnation, &clock);
+        let machine = new_machine(&settings, incarnation, &clock);
         let decide = DecideDuty {
             machine,
             clock,
@@ -108,9 +108,10 @@
             log: log.clone(),
         };
         let orders = OrderDuty::new(settings.clone(), ring.clone(), shelf.clone(), metrics.clone());
-        let keeper = PermitKeeper::new(Default::default(), clock.now());
-        let keeper = Arc::new(KeeperDesk::new(keeper));
-        let answers = ControlAnswers { ring: ring.clone(), shelf: shelf.clone(), keeper, clock };
+        let coordinator = PermitKeeper::new(Default::default(), clock.now());
+        let permits = Arc::new(PermitService::new(coordinator));
+        let control_service =
+            ControlService { ring: ring.clone(), shelf: shelf.clone(), permits, clock };
         let serve = ServeContext::new(settings.clone(), ring.clone(), clock, metrics);
         let inspector = DumpInspector {
             ring: ring.clone(),
@@ -119,22 +120,30 @@
         };
 
         let (bound_sender, bound) = std::sync::mpsc::channel();
-        let mut threads = vec![decide.spawn(inputs, TICK)];
+        let mut threads = vec![decide.spawn(inputs, TICK_INTERVAL)];
         let halted_serve = halted.clone();
         let serve_log = log.clone();
         let workers = settings.listen.threads;
         threads.push(duty::spawn("serve", move || {
-            let run = run_servers(serve, answers, inspector, bound_sender, halted_serve, serve_log);
+            let run = run_servers(
+                serve,
+                control_service,
+                inspector,
+                bound_sender,
+                halted_serve,
+                serve_log,
+            );
             duty::run_async(workers, run);
         }));
-        let bound = bound.recv().wrap_err("the serving duty ended")??;
+        let bound =
+            bound.recv().wrap_err("server thread ended before its addresses were bound")??;
         threads.push(duty::spawn("orders", move || {
             duty::run_async(1, orders.run(order_receiver));
         }));
         let own_control = Some(bound.control.to_string());
         let watch_ring = ring.clone();
         let host = settings.process.host.clone();
-        let notify = move |news: WatchNews| tell_machine(&watch_ring, &host, news);
+        let notify = move |update: WatchNews| forward_watch_update(&watch_ring, &host, update);
         let platform = HttpPlatform::new(settings.platform.address, settings.platform.timeout);
         let sections = (settings.platform.clone(), settings.bundle.clone());
         let watch = FleetWatch::new(platform, sections, own_control, shelf, log.clone(), notify);
@@ -148,7 +157,7 @@
         Ok(Self { data, control, operator, handle })
     }
 
-    /// Begins the planned stop: new work is refused and what is in flight ends whole.
+    /// Begins a planned stop: new work is rejected and attempts in flight are completed.
     ///
     /// ```no_run
     /// # fn run(agent: quillcove::agent::AgentProcess) {
@@ -159,7 +168,7 @@
         self.handle.ring.put(AgentInput::Event(AgentEvent::StopAsked));
     }
 
-    /// Ends at once and cuts what is in flight.
+    /// Ends at once and aborts attempts in flight.
     ///
     /// ```no_run
     /// # fn run(agent: quillcove::agent::AgentProcess) {
@@ -170,7 +179,7 @@
         self.handle.abort(AgentInput::Halt);
     }
 
-    /// Tells whether the planned stop is over.
+    /// Returns whether the planned stop is complete.
     ///
     /// ```no_run
     /// # fn run(agent: quillcove::agent::AgentProcess) {
@@ -181,7 +190,7 @@
         self.handle.has_stopped()
     }
 
-    /// Tells whether new work is taken.
+    /// Returns whether the agent accepts new work.
     ///
     /// ```no_run
     /// # fn run(agent: quillcove::agent::AgentProcess) {
@@ -192,7 +201,7 @@
         self.handle.is_ready()
     }
 
-    /// Attempts at the upstream now.
+    /// Returns the number of attempts passed to the upstream and not yet ended.
     ///
     /// ```no_run
     /// # fn run(agent: quillcove::agent::AgentProcess) {
@@ -203,7 +212,7 @@
         self.handle.dump(AgentInput::Dump).map_or(0, |view| view.running)
     }
 
-    /// Waits for the end of all duties.
+    /// Waits until all threads have ended.
     ///
     /// ```no_run
     /// # fn run(agent: quillcove::agent::AgentProcess) {
@@ -216,7 +225,11 @@
     }
 }
 
-fn machine(settings: &AgentSettings, incarnation: Incarnation, clock: &MonoClock) -> AgentMachine {
+fn new_machine(
+    settings: &AgentSettings,
+    incarnation: Incarnation,
+    clock: &MonoClock,
+) -> AgentMachine {
     let host = &settings.process.host;
     let secret = rand::random();
     let now = clock.now();
@@ -225,17 +238,17 @@
     AgentMachine::new(host, incarnation, rules, book, now)
 }
 
-/// The least term of this run of the agent. A clock that was set back matters only when, at the
-/// same time, the engine has forgotten its fences and an earlier agent's order is still underway.
+/// Returns the lowest fencing term that this run of the agent uses. A clock that was set back matters only if, at the
+/// same time, the engine has lost its fences and an order of an earlier run is still in flight.
 fn seconds_since_epoch() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |since| since.as_secs())
 }
 
-/// Hands the watching duty's news to the machine. An agent that is not in the host list is not
-/// leaving: the list may be older than the host.
-fn tell_machine(ring: &DutyRing<AgentInput>, host: &str, news: WatchNews) {
-    let event = match news {
+/// Passes an update from the watch thread to the machine. An agent that is missing from the host list is not treated
+/// as draining: the list may be older than the host.
+fn forward_watch_update(ring: &DutyRing<AgentInput>, host: &str, update: WatchNews) {
+    let event = match update {
         WatchNews::Bundle(bundle) => AgentEvent::BundleTaken(bundle),
         WatchNews::Hosts(hosts) => {
             let own = hosts.as_ref().and_then(|hosts| hosts.iter().find(|r| r.host == host));
@@ -245,10 +258,10 @@
     ring.put(AgentInput::Event(event));
 }
 
-/// Runs the servers until the process halts.
+/// Starts the servers, reports their addresses or the error through `bound`, and runs until the process halts.
 async fn run_servers(
     serve: ServeContext,
-    answers: ControlAnswers,
+    control_service: ControlService,
     inspector: DumpInspector<AgentInput, AgentView>,
     bound: std::sync::mpsc::Sender<eyre::Result<BoundAddresses>>,
     halted: watch::Receiver<bool>,
@@ -258,7 +271,7 @@
     let listen = serve.listen();
     let started = async {
         let data = serve::start(serve, &log)?;
-        let control = calls::serve(listen.control, answers).await;
+        let control = calls::serve(listen.control, control_service).await;
         let control = control.wrap_err_with(|| format!("can not listen on {}", listen.control))?;
         let operator = operator::start(listen.operator, inspector, metrics, &log)?;
         eyre::Ok((data, control, operator))
