--- a/quillcove/src/clock.rs
+++ b/quillcove/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process.
+//! Monotonic clock of a process, on which the core state machines run.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -6,15 +6,15 @@
 use nix::time::{ClockId, clock_gettime};
 use quillcove_core::ids::MonoTime;
 
-/// Measures the time since the process started; core machines get their time from here only.
+/// Measures the time since the process started. Core state machines get their time from this clock only.
 ///
-/// It goes on while the host is suspended, as the world does: what was known before a suspension is as old as
-/// it is for everyone else. The system's steady clock, by which the runtime's timers go, stands still meanwhile.
-/// It may only pace work; no age, right, limit or budget is measured by it.
+/// It includes the time during which the host is suspended (`CLOCK_BOOTTIME`), so that the age of state received
+/// before a suspension is the same as on other hosts. `CLOCK_MONOTONIC`, which drives the runtime's timers, stops
+/// during a suspension. It may only pace work: ages, key validity, limits and budgets are never measured by it.
 #[derive(Clone, Copy, Debug)]
 pub struct MonoClock {
     start: Duration,
-    /// Milliseconds by which a test has put the clock ahead.
+    /// Milliseconds by which a test has advanced the clock.
     ahead: Option<&'static AtomicU64>,
 }
 
@@ -29,7 +29,7 @@
         Self { start: since_boot(), ahead: None }
     }
 
-    /// Starts a clock that can be put ahead by so many milliseconds, as a suspension does.
+    /// Starts a clock that runs ahead by the milliseconds in `ahead`, to simulate a suspension.
     ///
     /// ```
     /// use std::sync::atomic::{AtomicU64, Ordering};
@@ -43,7 +43,7 @@
         Self { start: since_boot(), ahead: Some(ahead) }
     }
 
-    /// Time since the start.
+    /// Returns the time since the clock was started.
     ///
     /// ```
     /// let clock = quillcove::clock::MonoClock::start();
@@ -56,9 +56,11 @@
     }
 }
 
-/// Time since the host started, suspensions included.
+/// Returns the time since the host booted, including suspensions.
 fn since_boot() -> Duration {
-    // The call fails only for a clock that the kernel lacks, and this one is older than any kernel
-    // that the runtime works on.
-    clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).expect("the kernel counts time")
+    // The call fails only for a clock that the kernel does not support, and every kernel that the
+    // runtime supports has this one.
+    clock_gettime(ClockId::CLOCK_BOOTTIME)
+        .map(Duration::from)
+        .expect("the kernel supports CLOCK_BOOTTIME")
 }
