--- a/quillcove/src/control.rs
+++ b/quillcove/src/control.rs
@@ -1,4 +1,4 @@
-//! Short calls between quillcove processes, by tarpc.
+//! Short remote procedure calls between quillcove processes, over tarpc.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,48 +16,49 @@
 use tokio::sync::Mutex;
 use tokio_serde::formats::Bincode;
 
-/// Calls that an agent answers.
+/// Control calls that an agent serves.
 #[tarpc::service]
 pub trait AgentControl {
-    /// Withdraws an attempt: whether it certainly did not run and never will.
+    /// Withdraws an attempt and reports whether it certainly did not run and never will.
     async fn withdraw(attempt: AttemptId, incarnation: Incarnation) -> WithdrawAnswer;
     /// Issues a ticket for one request that must not run twice.
     async fn issue_ticket() -> Result<String, WorkRefusal>;
-    /// What became of a ticket; `None` for one not used yet.
+    /// Returns the state of a ticket's request; `None` if the ticket has not been used yet.
     async fn ticket_state(ticket: String) -> Result<Option<OnceState>, WorkRefusal>;
-    /// Asks this agent, as keeper, for a permit to load.
+    /// Requests a permit to load a base model from this agent, as the load rate coordinator.
     async fn ask_permit(ask: PermitAsk) -> PermitAnswer;
-    /// Gives a permit back.
+    /// Returns the load permit of a host.
     async fn return_permit(host: HostId);
-    /// The bundle in force here.
+    /// Returns the head of the bundle in force at this agent.
     async fn bundle_head() -> Option<BundleHead>;
-    /// Text of the bundle in force here, if it has this digest.
+    /// Returns the text of the bundle in force at this agent, if it has this digest.
     async fn bundle_text(digest: String) -> Option<String>;
 }
 
-/// Why a call has no answer.
+/// Why a control call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No connection was made.
+    /// No connection was established, so the call was not sent.
     #[error("no connection to {0}")]
     NotSent(String),
-    /// The call may have been received.
+    /// The connection failed or the call timed out; the call may have been received.
     #[error("no answer from {0}")]
     Lost(String),
 }
 
-/// Connections to other agents' control addresses, kept for reuse.
+/// Pool of connections to the control addresses of other agents.
 #[derive(Clone, Default)]
 pub struct ControlPool {
     clients: Arc<Mutex<HashMap<String, AgentControlClient>>>,
 }
 
 impl ControlPool {
-    /// Makes a call within a time, over the kept connection or a new one.
+    /// Makes a call over the pooled connection or a new one. The limit applies to connecting and to
+    /// the call separately. A connection whose call failed or timed out leaves the pool.
     ///
     /// # Errors
     ///
-    /// [`CallError`].
+    /// [`CallError::NotSent`] if no connection was established, else [`CallError::Lost`].
     ///
     /// ```
     /// use std::time::Duration;
