--- a/quillcove/src/duty.rs
+++ b/quillcove/src/duty.rs
@@ -1,15 +1,15 @@
-//! Duties: threads that each own one state and take events from a bounded ring.
+//! Duties: threads that each own their state and process events from a bounded queue (ring).
 
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 
-/// Says that a ring is full or its duty has ended; the event was not taken.
+/// The event was not queued because the ring is full or its duty has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingFull;
 
-/// The sending end of a duty's ring.
+/// The sending half of a duty's event queue.
 #[derive(Debug)]
 pub struct DutyRing<E> {
     sender: Sender<E>,
@@ -22,7 +22,7 @@
 }
 
 impl<E> DutyRing<E> {
-    /// A ring of this many places and its receiving end.
+    /// Creates a ring with a capacity of `places` events, and its receiving half.
     ///
     /// ```
     /// let (ring, _events) = quillcove::duty::DutyRing::new(1);
@@ -34,11 +34,11 @@
         (Self { sender }, receiver)
     }
 
-    /// Puts an event into the ring unless it is full.
+    /// Queues an event without blocking.
     ///
     /// # Errors
     ///
-    /// [`RingFull`]; the caller refuses the work.
+    /// [`RingFull`], upon which the calling code rejects the work.
     ///
     /// ```
     /// let (ring, events) = quillcove::duty::DutyRing::new(1);
@@ -52,8 +52,9 @@
         }
     }
 
-    /// Puts an event into the ring, waiting for a place. For events that must not be lost, such
-    /// as the end of a request; the duty never waits for their senders, so this can not lock up.
+    /// Queues an event and blocks while the ring is full. For events that must not be lost, such as
+    /// the end of a request. A duty never waits for the senders of its events, so this cannot
+    /// deadlock. If the duty has ended, the event is dropped.
     ///
     /// ```
     /// let (ring, events) = quillcove::duty::DutyRing::new(1);
@@ -65,8 +66,9 @@
     }
 }
 
-/// Starts the thread of a duty. The handler gets each event, and `None` when none came for the
-/// given time or that time has passed since the last such call; it returns `false` to end.
+/// Starts the thread of a duty. The handler is called with each event, and with `None` on a tick:
+/// when no event is queued and at least `tick` has passed since the previous tick. It returns `false`
+/// to end the duty.
 ///
 /// ```
 /// use std::time::Duration;
@@ -111,8 +113,8 @@
     thread::Builder::new().name(name.to_string()).spawn(run).expect("threads can be started")
 }
 
-/// Runs a future to its end on a runtime with this many worker threads; one worker means that
-/// the calling thread does the work.
+/// Runs a future to completion on a runtime with this many worker threads; with one worker, it
+/// runs on the calling thread.
 ///
 /// ```
 /// assert_eq!(quillcove::duty::run_async(1, async { 5 }), 5);
