--- a/quillcove/src/lib.rs
+++ b/quillcove/src/lib.rs
@@ -1,7 +1,8 @@
-//! The quillcove daemons and operators' commands, around the decisions of [`quillcove_core`].
+//! The quillcove daemons and operator commands, built on the state machines of [`quillcove_core`].
 //!
-//! A process has one thread for each duty: one decides, with a state machine of the core; the
-//! others talk to callers, upstreams, the platform and operators. Bounded rings join them.
+//! A process runs one thread per duty. One duty makes all decisions, with a state machine of the
+//! core; the others do the I/O with callers, upstreams, the platform and operators. Bounded queues
+//! (rings) connect them.
 
 #![deny(rustdoc::broken_intra_doc_links, missing_docs, unsafe_code)]
 #![deny(clippy::all)]
