--- a/quillcove/src/main.rs
+++ b/quillcove/src/main.rs
@@ -1,4 +1,4 @@
-//! The quillcove binary.
+//! Entry point of the quillcove binary: parses the command line and runs the chosen command.
 
 #![deny(clippy::all)]
 
