--- a/quillcove/src/operator.rs
+++ b/quillcove/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' address of a process: health, readiness, metrics and the whole state.
+//! The operator endpoint of a process: health, readiness, metrics and a dump of its state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 use crate::web::answer::{WebAnswer, internal, json_answer};
 use crate::web::server;
 
-/// Largest body on this address, in bytes; nothing here reads one.
-const BODY_LIMIT: usize = 1024;
+/// Limit for request bodies, in bytes. No handler of this endpoint reads a body.
+const BODY_LIMIT_BYTES: usize = 1024;
 
-/// What the operators' address needs of its process.
+/// Access of the operator endpoint to its process.
 pub trait ProcessInspector: Send + Sync + 'static {
-    /// The whole state.
+    /// Returns the complete state of the process.
     fn state(&self) -> BoxFuture<'_, serde_json::Value>;
 
-    /// Whether new work is taken.
+    /// Returns whether the process accepts new work.
     fn is_ready(&self) -> bool;
 }
 
-/// Context of the handlers.
+/// Shared context of the endpoint's handlers.
 pub struct OperatorContext {
     inspector: Box<dyn ProcessInspector>,
     metrics: Arc<ProcessMetrics>,
@@ -36,20 +36,20 @@
 
 #[endpoint { method = GET, path = "/healthz" }]
 async fn check_health(_context: RequestContext<Context>) -> WebAnswer {
-    plain(StatusCode::OK, "ok\n".to_string())
+    plain_text(StatusCode::OK, "ok\n".to_string())
 }
 
 #[endpoint { method = GET, path = "/readyz" }]
 async fn check_ready(context: RequestContext<Context>) -> WebAnswer {
     match context.context().inspector.is_ready() {
-        true => plain(StatusCode::OK, "ready\n".to_string()),
-        false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_string()),
+        true => plain_text(StatusCode::OK, "ready\n".to_string()),
+        false => plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_string()),
     }
 }
 
 #[endpoint { method = GET, path = "/metrics" }]
 async fn read_metrics(context: RequestContext<Context>) -> WebAnswer {
-    plain(StatusCode::OK, context.context().metrics.text())
+    plain_text(StatusCode::OK, context.context().metrics.text())
 }
 
 #[endpoint { method = GET, path = "/state" }]
@@ -57,17 +57,17 @@
     json_answer(&context.context().inspector.state().await)
 }
 
-fn plain(status: StatusCode, text: String) -> WebAnswer {
+fn plain_text(status: StatusCode, text: String) -> WebAnswer {
     let response = Response::builder().status(status);
     let response = response.header(http::header::CONTENT_TYPE, "text/plain; version=0.0.4");
     response.body(Body::from(text)).map_err(internal)
 }
 
-/// Starts the operators' address.
+/// Starts the HTTP server of the operator endpoint.
 ///
 /// # Errors
 ///
-/// When the address can not be bound.
+/// Fails if the address cannot be bound.
 ///
 /// ```no_run
 /// # fn run(inspector: impl quillcove::operator::ProcessInspector) {
@@ -92,7 +92,7 @@
         .and_then(|()| api.register(check_ready))
         .and_then(|()| api.register(read_metrics))
         .and_then(|()| api.register(read_state));
-    registered.map_err(|error| eyre!("can not register a path: {error}"))?;
+    registered.map_err(|error| eyre!("cannot register a path: {error}"))?;
     let context = Arc::new(OperatorContext { inspector: Box::new(inspector), metrics });
-    server::start(api, context, address, BODY_LIMIT, &quiet(log))
+    server::start(api, context, address, BODY_LIMIT_BYTES, &quiet(log))
 }
