--- a/quillcove/src/peers.rs
+++ b/quillcove/src/peers.rs
@@ -1,6 +1,6 @@
-//! Datagrams between relays and loaders.
+//! UDP datagrams between relays and loaders.
 //!
-//! Each message is a whole state or a whole ask, so that a lost one is made up for by the next.
+//! Each message carries a complete state or a complete load request, so that the next message makes up for a lost one.
 
 use std::net::SocketAddr;
 
@@ -8,41 +8,41 @@
 use quillcove_core::relay::beacon::PeerMessage;
 use tokio::net::UdpSocket;
 
-/// Largest datagram that is read.
-const DATAGRAM_LIMIT: usize = 16 << 10;
+/// Size of the receive buffer, in bytes; a longer datagram is truncated.
+const RECEIVE_BUFFER_BYTES: usize = 16 << 10;
 
-/// The socket on which a process talks to the others.
+/// UDP socket of a process for messages to and from its peers.
 pub struct PeerSocket {
     socket: UdpSocket,
-    /// The same socket for sending: the runtime holds the first sends back until it has polled the
-    /// socket once, which would lose them.
+    /// The same socket, used for sending without the runtime. The runtime does not send before it has
+    /// polled the socket once, so the first messages would be lost.
     sender: std::net::UdpSocket,
 }
 
-/// What went out of one message.
+/// What was sent of one message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentMessage {
-    /// Datagrams, one a receiver.
+    /// Number of datagrams, one per receiver.
     pub datagrams: usize,
-    /// Bytes of all of them, without the headers of the network.
+    /// Total payload bytes, without network headers.
     pub bytes: usize,
 }
 
-/// What arrived at the socket.
+/// A datagram received at the socket.
 #[derive(Debug)]
 pub enum PeerArrival {
-    /// A message with its sender.
+    /// A message and its sender.
     Message(Box<PeerMessage>, SocketAddr),
-    /// Bytes that are no message.
+    /// A datagram that could not be decoded, with its sender.
     Garbage(SocketAddr, postcard::Error),
 }
 
 impl PeerSocket {
-    /// Binds an address.
+    /// Binds a socket to an address.
     ///
     /// # Errors
     ///
-    /// When it can not be bound.
+    /// Fails if the address cannot be bound.
     ///
     /// ```
     /// quillcove::duty::run_async(1, async {
@@ -52,17 +52,17 @@
     /// ```
     pub async fn bind(address: SocketAddr) -> eyre::Result<Self> {
         let bound = std::net::UdpSocket::bind(address);
-        let sender = bound.wrap_err_with(|| format!("can not bind {address} for datagrams"))?;
+        let sender = bound.wrap_err_with(|| format!("cannot bind UDP socket to {address}"))?;
         sender.set_nonblocking(true)?;
         let socket = UdpSocket::from_std(sender.try_clone()?)?;
         Ok(Self { socket, sender })
     }
 
-    /// The address bound.
+    /// Returns the address that the socket is bound to.
     ///
     /// # Errors
     ///
-    /// When the system does not tell.
+    /// Fails if the operating system cannot report the address.
     ///
     /// ```
     /// quillcove::duty::run_async(1, async {
@@ -75,8 +75,8 @@
         Ok(self.socket.local_addr()?)
     }
 
-    /// Sends a message to some processes. One that can not be sent now is left out: the next
-    /// message tells the same or newer.
+    /// Sends a message to each receiver. A datagram that cannot be sent now is not retried: the next
+    /// message carries the same or newer state.
     ///
     /// ```
     /// use quillcove::peers::PeerSocket;
@@ -102,11 +102,11 @@
         SentMessage { datagrams, bytes: datagrams * bytes.len() }
     }
 
-    /// Waits for the next datagram.
+    /// Receives the next datagram.
     ///
     /// # Errors
     ///
-    /// When the socket fails.
+    /// Fails if the socket reports an error.
     ///
     /// ```
     /// use quillcove::peers::{PeerArrival, PeerSocket};
@@ -121,7 +121,7 @@
     /// });
     /// ```
     pub async fn receive(&self) -> std::io::Result<PeerArrival> {
-        let mut buffer = [0u8; DATAGRAM_LIMIT];
+        let mut buffer = [0u8; RECEIVE_BUFFER_BYTES];
         let (length, from) = self.socket.recv_from(&mut buffer).await?;
         Ok(match postcard::from_bytes(&buffer[..length]) {
             Ok(message) => PeerArrival::Message(Box::new(message), from),
