--- a/quillcove/src/platform.rs
+++ b/quillcove/src/platform.rs
@@ -1,4 +1,4 @@
-//! Reading the platform: configuration values, with a watch, and the host list.
+//! Read-only client of the platform: configuration values, each with a watch, and the host list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,42 +9,42 @@
 
 use crate::web::client::{WebClient, WebError};
 
-/// Header with a value's revision.
+/// Response header with the revision of a value.
 const REVISION_HEADER: &str = "x-revision";
 
-/// Time beyond a watch's own wait after which it counts as lost.
+/// Time beyond the requested wait and the client's timeout after which a watch counts as lost.
 const WATCH_MARGIN: Duration = Duration::from_secs(2);
 
-/// A value with its revision.
+/// A configuration value with its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformValue {
-    /// Changes with each publication.
+    /// Revision, which changes with each publication.
     pub revision: u64,
-    /// Content.
+    /// Published bytes.
     pub content: Bytes,
 }
 
 /// The host list with its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostList {
-    /// Changes with each publication.
+    /// Revision, which changes with each publication.
     pub revision: u64,
     /// Hosts.
     pub hosts: Vec<HostRecord>,
 }
 
-/// What quillcove needs of the platform. It only reads.
+/// Read-only access to the platform.
 pub trait PlatformPort: Send + Sync + 'static {
-    /// The host list, live and leaving hosts, if its revision differs from the one given; waits
-    /// for another this long at most.
+    /// Returns the host list, with live and draining hosts, as soon as its revision differs from
+    /// `after`, or `None` if it still has that revision after `wait`.
     fn hosts(
         &self,
         after: Option<u64>,
         wait: Duration,
     ) -> impl Future<Output = Result<Option<HostList>, WebError>> + Send;
 
-    /// A value whose revision differs from the one given; waits for it this long at most and
-    /// returns `None` when there is none.
+    /// Returns a configuration value as soon as its revision differs from `after`, or `None` if it
+    /// still has that revision after `wait`.
     fn value(
         &self,
         name: &str,
@@ -53,7 +53,7 @@
     ) -> impl Future<Output = Result<Option<PlatformValue>, WebError>> + Send;
 }
 
-/// The platform over HTTP.
+/// Client of the platform's HTTP interface.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     client: WebClient,
@@ -62,7 +62,7 @@
 }
 
 impl HttpPlatform {
-    /// A reader of the platform at an address.
+    /// Creates a client of the platform at this address.
     ///
     /// ```
     /// use std::time::Duration;
@@ -75,7 +75,8 @@
         Self { client: WebClient::new(timeout, idle), base: format!("http://{address}"), timeout }
     }
 
-    /// Reads a path with a watch.
+    /// Sends a long-poll request for a path: the platform responds when the revision differs from
+    /// `after`, or when `wait` has passed.
     async fn read(
         &self,
         path: &str,
@@ -91,7 +92,8 @@
             StatusCode::OK => {
                 let revision = answer.headers().get(REVISION_HEADER);
                 let revision = revision.and_then(|value| value.to_str().ok()?.parse().ok());
-                let revision = revision.ok_or(WebError::Lost("no revision".to_string()))?;
+                let revision =
+                    revision.ok_or(WebError::Lost("response has no revision".to_string()))?;
                 Ok(Some(PlatformValue { revision, content: answer.into_body() }))
             },
             status => Err(WebError::Status(status)),
