--- a/quillcove/src/process.rs
+++ b/quillcove/src/process.rs
@@ -1,4 +1,4 @@
-//! What the processes of all roles share: their end, and what operators may see.
+//! Shutdown and inspection, shared by the processes of all roles.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,23 +16,23 @@
 use crate::duty::DutyRing;
 use crate::operator::ProcessInspector;
 
-/// Makes the input that asks a deciding duty for its state.
+/// Builds the event that requests the state of a deciding duty.
 pub type DumpInput<I, V> = fn(oneshot::Sender<V>) -> I;
 
-/// The duties of a running process.
+/// Handle to the duties of a running process.
 pub struct ProcessHandle<I> {
-    /// Ring of the deciding duty.
+    /// Event queue of the deciding duty.
     pub ring: DutyRing<I>,
     /// Threads of all duties.
     pub threads: Vec<JoinHandle<()>>,
-    /// `true` once the process is to end.
+    /// `true` once the process has been asked to stop.
     pub halt: watch::Sender<bool>,
-    /// Whether new work is taken.
+    /// Whether the process accepts new work.
     pub is_ready: Arc<AtomicBool>,
 }
 
 impl<I> ProcessHandle<I> {
-    /// Ends at once; the input makes the deciding duty look.
+    /// Stops the process immediately. The event makes the deciding duty check for the stop.
     ///
     /// ```no_run
     /// # fn run(handle: quillcove::process::ProcessHandle<u8>) {
@@ -44,7 +44,7 @@
         self.ring.put(input);
     }
 
-    /// Tells whether the process is to end or has ended.
+    /// Returns whether the process has been asked to stop or has stopped.
     ///
     /// ```no_run
     /// # fn run(handle: quillcove::process::ProcessHandle<u8>) {
@@ -55,7 +55,7 @@
         *self.halt.borrow()
     }
 
-    /// Tells whether new work is taken.
+    /// Returns whether the process accepts new work.
     ///
     /// ```no_run
     /// # fn run(handle: quillcove::process::ProcessHandle<u8>) {
@@ -66,7 +66,8 @@
         self.is_ready.load(Ordering::Relaxed)
     }
 
-    /// Asks the deciding duty for its state, outside of any runtime.
+    /// Requests the state of the deciding duty and blocks until it responds; must not be called from
+    /// an async runtime.
     ///
     /// ```no_run
     /// # fn run(handle: quillcove::process::ProcessHandle<tokio::sync::oneshot::Sender<u8>>) {
@@ -79,7 +80,7 @@
         futures::executor::block_on(receiver).ok()
     }
 
-    /// Waits for the end of all duties.
+    /// Waits until all duties have ended.
     ///
     /// ```no_run
     /// # fn run(handle: quillcove::process::ProcessHandle<u8>) {
@@ -94,11 +95,11 @@
     }
 }
 
-/// Time in which the last answers leave a process that ends.
-const CLOSE_TIME: Duration = Duration::from_secs(2);
+/// Time for which a stopping process lets its last responses be sent.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Waits until a process is to end, and then until the answers of a server that ended whole have
-/// left.
+/// Waits until the process is asked to stop, then closes the server and lets its completed
+/// responses be sent.
 ///
 /// ```no_run
 /// # async fn run(server: dropshot::HttpServer<()>, halted: tokio::sync::watch::Receiver<bool>) {
@@ -110,10 +111,10 @@
     mut halted: watch::Receiver<bool>,
 ) {
     let _ = halted.wait_for(|is_halted| *is_halted).await;
-    let _ = timeout(CLOSE_TIME, server.close()).await;
+    let _ = timeout(CLOSE_TIMEOUT, server.close()).await;
 }
 
-/// Keeps the flag of readiness, and logs its changes.
+/// Updates the readiness flag and logs a change.
 ///
 /// ```
 /// use std::sync::atomic::AtomicBool;
@@ -127,13 +128,13 @@
     }
 }
 
-/// What operators may see of a process: the state of its deciding duty.
+/// Inspector for the operator endpoint, which reads the state of the deciding duty.
 pub struct DumpInspector<I, V> {
-    /// Ring of the deciding duty.
+    /// Event queue of the deciding duty.
     pub ring: DutyRing<I>,
-    /// Whether new work is taken.
+    /// Whether the process accepts new work.
     pub is_ready: Arc<AtomicBool>,
-    /// Makes the input that asks for the state.
+    /// Builds the event that requests the state.
     pub input: DumpInput<I, V>,
 }
 
