--- a/quillcove/src/web/answer.rs
+++ b/quillcove/src/web/answer.rs
@@ -1,4 +1,4 @@
-//! Answers with a verdict, and errors in OpenAI's shape.
+//! Responses with a verdict, and error bodies in OpenAI's format.
 
 use dropshot::Body;
 use http::{Response, StatusCode, header};
@@ -8,10 +8,10 @@
 
 use super::headers;
 
-/// An answer of an HTTP handler.
+/// Result of an HTTP handler.
 pub type WebAnswer = Result<Response<Body>, dropshot::HttpError>;
 
-/// Status that goes with a refusal.
+/// Returns the HTTP status for a reason to reject a request.
 ///
 /// ```
 /// use quillcove::web::answer::status_of;
@@ -24,7 +24,7 @@
         RefusalReason::BadRequest => StatusCode::BAD_REQUEST,
         RefusalReason::Unknown => StatusCode::NOT_FOUND,
         RefusalReason::KeyUnknown => StatusCode::UNAUTHORIZED,
-        // Nothing but another request helps, so that clients must not repeat this one.
+        // Callers must not retry: only a different request can succeed.
         RefusalReason::EndsUpstreams => StatusCode::UNPROCESSABLE_ENTITY,
         RefusalReason::Overloaded | RefusalReason::LimitReached => StatusCode::TOO_MANY_REQUESTS,
         RefusalReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The type that OpenAI's clients expect with a status.
+/// Returns the error type that OpenAI clients expect with a status.
 fn error_type(status: StatusCode) -> &'static str {
     match status {
         StatusCode::BAD_REQUEST
@@ -57,7 +57,7 @@
     }
 }
 
-/// The body of a refusal, which is also the data of a stream's error event.
+/// Returns the body for a rejected request, which is also the data of a stream's error event.
 ///
 /// ```
 /// use quillcove::web::answer::refusal_body;
@@ -78,7 +78,7 @@
     })
 }
 
-/// A whole refusal for a caller. `Retry-After` is in whole seconds, rounded up.
+/// Builds the complete response for a rejected request. `Retry-After` is in whole seconds, rounded up.
 ///
 /// ```
 /// use std::time::Duration;
@@ -104,7 +104,7 @@
     response.body(Body::from(body)).map_err(internal)
 }
 
-/// A JSON answer of the process itself, which ran whole.
+/// Builds a JSON response of the process itself, with the verdict `ran`.
 ///
 /// ```
 /// let answer = quillcove::web::answer::json_answer(&serde_json::json!({ "ok": true }));
@@ -118,7 +118,7 @@
     response.body(Body::from(body)).map_err(internal)
 }
 
-/// A fault of the process itself.
+/// Returns the error response (status 500) for a fault of the process itself.
 ///
 /// ```
 /// assert_eq!(quillcove::web::answer::internal("x").status_code.as_u16(), 500);
@@ -127,7 +127,7 @@
     dropshot::HttpError::for_internal_error(error.to_string())
 }
 
-/// What a reason means, for people.
+/// Returns the message for people that describes a reason.
 ///
 /// ```
 /// use quillcove_core::verdict::RefusalReason;
