--- a/quillcove/src/web/body.rs
+++ b/quillcove/src/web/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: reading them within a limit, and passing them on with a notice of their end.
+//! HTTP bodies: reading them up to a size limit, and forwarding them with a callback at their end.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -8,44 +8,44 @@
 use http_body::{Body, Frame, SizeHint};
 use hyper::body::Incoming;
 
-/// How a body that was passed on ended.
+/// How a forwarded body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// To its last byte.
+    /// All bytes were forwarded.
     Whole,
-    /// The sender broke off.
+    /// The sender broke off before the end.
     Broken,
-    /// The receiver went away.
+    /// The receiver disconnected before the end.
     Dropped,
 }
 
-/// Called once at a body's end.
-type EndNotice = Box<dyn FnOnce(BodyEnd) + Send + Sync>;
+/// Callback for the end of a body.
+type EndCallback = Box<dyn FnOnce(BodyEnd) + Send + Sync>;
 
-/// Last bytes that may follow a body, depending on how it ended.
-type EndBytes = Box<dyn FnOnce(BodyEnd) -> Option<Bytes> + Send + Sync>;
+/// Returns the bytes to append to a body, if any, depending on how it ended.
+type TailFactory = Box<dyn FnOnce(BodyEnd) -> Option<Bytes> + Send + Sync>;
 
-/// Passes a body on frame by frame and gives notice of its end exactly once.
+/// Body that forwards another frame by frame and calls back exactly once at its end.
 pub struct WatchedBody {
     inner: Incoming,
-    notice: Option<EndNotice>,
-    last: Option<EndBytes>,
+    on_end: Option<EndCallback>,
+    tail: Option<TailFactory>,
     is_over: bool,
 }
 
 impl WatchedBody {
-    /// Watches a body.
+    /// Wraps a body; `on_end` is called at its end.
     ///
     /// ```no_run
     /// # fn incoming() -> hyper::body::Incoming { unimplemented!() }
     /// quillcove::web::body::WatchedBody::new(incoming(), |end| println!("{end:?}"));
     /// ```
-    pub fn new(inner: Incoming, notice: impl FnOnce(BodyEnd) + Send + Sync + 'static) -> Self {
-        Self { inner, notice: Some(Box::new(notice)), last: None, is_over: false }
+    pub fn new(inner: Incoming, on_end: impl FnOnce(BodyEnd) + Send + Sync + 'static) -> Self {
+        Self { inner, on_end: Some(Box::new(on_end)), tail: None, is_over: false }
     }
 
-    /// Adds bytes after the last frame, such as a stream's error event. A body that ended in
-    /// such bytes ends in good order for HTTP, so they must say themselves what happened.
+    /// Appends bytes after the last frame, such as a stream's error event. HTTP then sees a body that
+    /// ended normally even if the sender broke off, so the bytes themselves must report the failure.
     ///
     /// ```no_run
     /// # fn incoming() -> hyper::body::Incoming { unimplemented!() }
@@ -54,24 +54,24 @@
     /// ```
     pub fn ending_with(
         mut self,
-        last: impl FnOnce(BodyEnd) -> Option<Bytes> + Send + Sync + 'static,
+        tail: impl FnOnce(BodyEnd) -> Option<Bytes> + Send + Sync + 'static,
     ) -> Self {
-        self.last = Some(Box::new(last));
+        self.tail = Some(Box::new(tail));
         self
     }
 
     fn end(&mut self, end: BodyEnd) -> Option<Bytes> {
         self.is_over = true;
-        if let Some(notice) = self.notice.take() {
-            notice(end);
+        if let Some(on_end) = self.on_end.take() {
+            on_end(end);
         }
-        self.last.take().and_then(|last| last(end))
+        self.tail.take().and_then(|tail| tail(end))
     }
 }
 
 impl Drop for WatchedBody {
     fn drop(&mut self) {
-        // A sender that ends without a last poll, as with a known length, ended whole.
+        // With a known length, hyper may drop the body after its last byte without a final poll.
         let end = match self.inner.is_end_stream() {
             true => BodyEnd::Whole,
             false => BodyEnd::Dropped,
@@ -105,22 +105,22 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.is_over || (self.last.is_none() && self.inner.is_end_stream())
+        self.is_over || (self.tail.is_none() && self.inner.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
-        match self.last {
+        match self.tail {
             Some(_) => SizeHint::default(),
             None => self.inner.size_hint(),
         }
     }
 }
 
-/// Reads a request's body whole. Dropshot cuts it at the server's limit.
+/// Reads a complete request body. Dropshot enforces the server's size limit.
 ///
 /// # Errors
 ///
-/// Dropshot's error for a body that is too large or breaks off.
+/// Dropshot's error for a body that is too large or incomplete.
 ///
 /// ```no_run
 /// # async fn read(body: dropshot::StreamingBody) {
