--- a/quillcove/src/web/client.rs
+++ b/quillcove/src/web/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client towards agents, upstreams and the platform.
+//! HTTP client for requests to agents, upstreams and the platform.
 
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// A client that keeps connections for reuse.
+/// HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct WebClient {
     inner: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// Why there is no answer.
+/// Why a request has no usable response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WebError {
-    /// No connection was made, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     #[error("no connection: {0}")]
     NotSent(String),
     /// The request may have been received.
     #[error("no answer: {0}")]
     Lost(String),
-    /// The answer has another status than expected.
+    /// The response has an unexpected status.
     #[error("status {0}")]
     Status(StatusCode),
 }
 
 impl WebClient {
-    /// A client that gives up on a connection after the given time, and keeps unused connections
-    /// for the idle time; an idle time of zero keeps none.
+    /// Creates a client with a timeout for connecting and one after which idle connections are
+    /// closed; an idle timeout of zero turns connection reuse off.
     ///
     /// ```
     /// use std::time::Duration;
@@ -52,11 +52,11 @@
         Self { inner: builder.build(connector) }
     }
 
-    /// Sends a request and returns the answer's head, with its body still to come.
+    /// Sends a request and returns the response as soon as its headers have arrived.
     ///
     /// # Errors
     ///
-    /// [`WebError::NotSent`] only where no byte can have left; else [`WebError::Lost`].
+    /// [`WebError::NotSent`] only if no byte can have been sent, else [`WebError::Lost`].
     ///
     /// ```
     /// use std::time::Duration;
@@ -79,11 +79,12 @@
         })
     }
 
-    /// Sends a request and reads the whole answer within a time.
+    /// Sends a request and reads the complete response within a time limit.
     ///
     /// # Errors
     ///
-    /// [`WebError`]; a time-out counts as lost.
+    /// The errors of [`WebClient::send`]; [`WebError::Lost`] also after a timeout or if the body is
+    /// incomplete. The status is not checked.
     ///
     /// ```
     /// use std::time::Duration;
@@ -111,12 +112,12 @@
             let body = body.collect().await.map_err(|error| WebError::Lost(error.to_string()))?;
             Ok(Response::from_parts(parts, body.to_bytes()))
         };
-        let timeout = tokio::time::timeout(limit, exchange).await;
-        timeout.unwrap_or_else(|_| Err(WebError::Lost("time is up".to_string())))
+        let outcome = tokio::time::timeout(limit, exchange).await;
+        outcome.unwrap_or_else(|_| Err(WebError::Lost("time is up".to_string())))
     }
 }
 
-/// The error with its causes.
+/// Formats an error with the chain of its causes.
 fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
