--- a/quillcove/src/web/headers.rs
+++ b/quillcove/src/web/headers.rs
@@ -1,4 +1,4 @@
-//! Names of the headers, and reading them.
+//! HTTP header names, and functions to parse and filter headers.
 
 use std::time::{Duration, SystemTime};
 
@@ -7,55 +7,54 @@
 use quillcove_core::standing::limit::read_limit;
 use quillcove_core::standing::notice::{LONGEST_REST, UpstreamNotice, read_rest};
 
-/// Start of the names of quillcove's own headers.
+/// Prefix of quillcove's own headers.
 const OWN_PREFIX: &str = "quillcove-";
 
-/// Key that a caller gives to a request that must not run twice.
+/// Idempotency key that a caller sets on a request that must not run twice.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Ticket for a request that must not run twice.
 pub const TICKET: &str = "quillcove-ticket";
-/// The same key from entry to agent; the caller's own header goes on to the service unchanged.
+/// The idempotency key from entry to agent; the caller's own header is forwarded to the service unchanged.
 pub const KEY: &str = "quillcove-key";
 /// `no` on a request that must not run twice.
 pub const REPEATABLE: &str = "quillcove-repeatable";
-/// Time that the caller gives the request, in milliseconds.
+/// Time within which the caller needs the response, in milliseconds.
 pub const DEADLINE_MS: &str = "quillcove-deadline-ms";
-/// Class of work.
+/// Priority class of the request.
 pub const PRIORITY: &str = "quillcove-priority";
-/// Name of the caller's organisation.
+/// Name of the caller's organization.
 pub const CALLER: &str = "quillcove-caller";
-/// Identifies the request, on every answer.
+/// Request id, on every response.
 pub const REQUEST_ID: &str = "quillcove-request-id";
-/// Verdict, on every answer.
+/// Verdict on whether the request ran, on every response.
 pub const VERDICT: &str = "quillcove-verdict";
-/// Reason of a refusal.
+/// Reason why the request was rejected.
 pub const REASON: &str = "quillcove-reason";
-/// Exact time after which to come back, in milliseconds, beside the whole seconds of
-/// `Retry-After`.
+/// Exact time after which to retry, in milliseconds, beside `Retry-After` in whole seconds.
 pub const RETRY_AFTER_MS: &str = "quillcove-retry-after-ms";
-/// How long the request waited at the agent before its upstream got it, in milliseconds.
+/// Time that the request waited at the agent before it was sent to its upstream, in milliseconds.
 pub const WAITED_MS: &str = "quillcove-waited-ms";
-/// Set by an agent on its own refusals, so that they are told apart from the upstream's answers.
+/// Set by an agent when it rejects a request itself, to distinguish this from the upstream's responses.
 pub const REFUSED: &str = "quillcove-refused";
-/// Names the attempt, from entry to agent.
+/// Attempt id, from entry to agent.
 pub const ATTEMPT: &str = "quillcove-attempt";
-/// Run of the agent that an attempt is meant for.
+/// Incarnation of the agent that an attempt is addressed to.
 pub const INCARNATION: &str = "quillcove-incarnation";
-/// Adapter with version, from entry to agent and back.
+/// Adapter and its version, from entry to agent and back.
 pub const ADAPTER: &str = "quillcove-adapter";
-/// News of an agent about itself, as JSON, on each of its answers.
+/// Status of an agent, as JSON, on each of its responses.
 pub const NEWS: &str = "quillcove-news";
 
-/// `yes` on each answer of an upstream that leaves.
+/// `yes` on each response of an upstream that is draining.
 pub const LEAVING: &str = "quillcove-leaving";
 
-/// By which an upstream names the requests a second that it takes from all processes together.
+/// Rate limit announced by an upstream: requests per second from all processes together.
 pub const LIMIT: &str = "quillcove-limit";
 
-/// What a request is, whatever its ids, from entry to agent.
+/// Identity of a request by what it asks for, independent of its ids, from entry to agent.
 pub const IDENTITY: &str = "quillcove-identity";
 
-/// Reads a header as text.
+/// Returns a header's value as text, or `None` if it is missing or not ASCII.
 ///
 /// ```
 /// use http::HeaderMap;
@@ -66,7 +65,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Reads a header as a number of milliseconds.
+/// Parses a header as a number of milliseconds.
 ///
 /// ```
 /// use std::time::Duration;
@@ -81,9 +80,9 @@
     text(headers, name)?.trim().parse().ok().map(Duration::from_millis)
 }
 
-/// What an upstream says of itself with an answer: that it leaves, the rate of requests that it takes, or, with 503,
-/// for how long it wants nothing; and what of it is not understood. What can't be read says nothing, a rest beyond
-/// the longest one is cut to that.
+/// Parses the upstream status in a response: whether the upstream is draining, its rate limit and, with status 503, its
+/// requested pause. Also returns a description of a header that cannot be parsed. Such a header is ignored; a
+/// requested pause above the maximum is described too and reduced to it.
 ///
 /// ```
 /// use std::time::{Duration, SystemTime};
@@ -98,31 +97,33 @@
 pub fn notice(
     status: StatusCode,
     headers: &HeaderMap,
-    wall: SystemTime,
+    now: SystemTime,
 ) -> (UpstreamNotice, Option<String>) {
     let is_leaving = text(headers, LEAVING) == Some("yes");
-    let named = headers.get(LIMIT);
-    let limit = named.and_then(|value| read_limit(value.to_str().ok()?));
-    let fault = named.filter(|_| limit.is_none());
-    let fault = fault.map(|value| format!("header {LIMIT}: {value:?} is no rate of requests"));
-    // With another status it tells a caller something.
+    let limit_value = headers.get(LIMIT);
+    let limit = limit_value.and_then(|value| read_limit(value.to_str().ok()?));
+    let fault = limit_value.filter(|_| limit.is_none());
+    let fault = fault.map(|value| {
+        format!("header {LIMIT}: {value:?} is not a rate limit in requests per second")
+    });
+    // With any other status, `Retry-After` is meant for the caller.
     let value = headers.get(RETRY_AFTER).filter(|_| status == StatusCode::SERVICE_UNAVAILABLE);
     let Some(value) = value else {
         return (UpstreamNotice { is_leaving, rest: None, limit }, fault);
     };
-    let asked = value.to_str().ok().and_then(|text| read_rest(text, wall));
-    let is_odd = asked.is_none_or(|rest| rest > LONGEST_REST);
-    let odd_rest =
-        is_odd.then(|| format!("header {RETRY_AFTER}: {value:?} is no rest of 300 s at most"));
-    let rest = asked.filter(|rest| !rest.is_zero()).map(|rest| rest.min(LONGEST_REST));
-    (UpstreamNotice { is_leaving, rest, limit }, odd_rest.or(fault))
+    let requested_pause = value.to_str().ok().and_then(|text| read_rest(text, now));
+    let is_invalid = requested_pause.is_none_or(|rest| rest > LONGEST_REST);
+    let pause_fault = is_invalid
+        .then(|| format!("header {RETRY_AFTER}: {value:?} is not a pause of at most 300 s"));
+    let rest = requested_pause.filter(|rest| !rest.is_zero()).map(|rest| rest.min(LONGEST_REST));
+    (UpstreamNotice { is_leaving, rest, limit }, pause_fault.or(fault))
 }
 
-/// Headers that belong to one connection.
+/// Headers that apply to a single connection.
 const HOP_HEADERS: [&str; 5] =
     ["connection", "host", "content-length", "transfer-encoding", "keep-alive"];
 
-/// The headers that are passed on: none of one connection, and none of quillcove's own.
+/// Returns the headers to forward: all but those of a single connection and quillcove's own.
 ///
 /// ```
 /// use http::HeaderMap;
