--- a/quillcove/src/web/server.rs
+++ b/quillcove/src/web/server.rs
@@ -1,4 +1,4 @@
-//! Starting HTTP servers.
+//! HTTP servers: starting them, and registering handlers on wildcard paths.
 
 use std::net::SocketAddr;
 
@@ -11,19 +11,19 @@
 use serde::Deserialize;
 use slog::Logger;
 
-/// Methods that plain services may be called with.
+/// HTTP methods that a service may be called with.
 pub const ANY_METHOD: [Method; 6] =
     [Method::GET, Method::POST, Method::PUT, Method::PATCH, Method::DELETE, Method::HEAD];
 
-/// The rest of a path, which handlers read with [`rest_of`].
+/// Path parameter of a wildcard; handlers use [`rest_of`] to get that part undecoded.
 #[derive(Debug, Deserialize, JsonSchema)]
 pub struct RestPath {
-    /// Segments, decoded.
+    /// Path segments, percent-decoded.
     pub path: Vec<String>,
 }
 
-/// The path and query of a request as they were sent, without the first segments. Decoded
-/// segments can not be put together again, because an encoded slash would become a real one.
+/// Returns the path and query of a request as sent, without the first `segments` segments. The
+/// decoded segments cannot be joined instead, because an encoded slash would become a separator.
 ///
 /// ```
 /// use quillcove::web::server::rest_of;
@@ -36,7 +36,7 @@
     path.splitn(segments + 2, '/').nth(segments + 1).unwrap_or("")
 }
 
-/// Registers one handler. A macro, because dropshot does not name the handlers' trait.
+/// Registers a handler for one method. This is a macro because dropshot does not export the handler trait.
 macro_rules! register {
     ($api:expr, $name:expr, $method:expr, $path:expr, $handler:expr) => {{
         let mut endpoint = dropshot::ApiEndpoint::new(
@@ -47,14 +47,14 @@
             $path,
             dropshot::ApiEndpointVersions::All,
         );
-        // A wildcard path can not be described to clients.
+        // OpenAPI cannot describe a wildcard path.
         endpoint.visible = false;
-        $api.register(endpoint).map_err(|error| eyre::eyre!("can not register {}: {error}", $path))
+        $api.register(endpoint).map_err(|error| eyre::eyre!("cannot register {}: {error}", $path))
     }};
 }
 pub(crate) use register;
 
-/// Registers one handler for any method on a path with a wildcard.
+/// Registers a handler for every method in [`ANY_METHOD`] on a wildcard path.
 macro_rules! register_any_method {
     ($api:expr, $name:expr, $path:expr, $handler:expr) => {
         for method in $crate::web::server::ANY_METHOD {
@@ -65,12 +65,12 @@
 }
 pub(crate) use register_any_method;
 
-/// Starts a server.
+/// Starts an HTTP server.
 ///
 /// # Errors
 ///
-/// When the address can not be bound; an address in use also tells that another process with the
-/// same duty runs on the host.
+/// Fails if the address cannot be bound. An address that is in use also means that another process
+/// with the same role is running on the host.
 ///
 /// ```
 /// use dropshot::ApiDescription;
@@ -96,5 +96,5 @@
         ..ConfigDropshot::default()
     };
     let server = ServerBuilder::new(api, context, log.clone()).config(config).start();
-    server.wrap_err_with(|| format!("can not listen on {address}"))
+    server.wrap_err_with(|| format!("cannot listen on {address}"))
 }
