--- a/quillcove/src/web/mod.rs
+++ b/quillcove/src/web/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP between callers, entries, agents and upstreams.
+//! HTTP client, server and message helpers for callers, entries, agents and upstreams.
 
 pub mod answer;
 pub mod body;
