--- a/quillcove/src/web/answer.rs
+++ b/quillcove/src/web/answer.rs
@@ -14,12 +14,12 @@
 /// Returns the HTTP status for a reason to reject a request.
 ///
 /// ```
-/// use quillcove::web::answer::status_of;
+/// use quillcove::web::answer::http_status;
 /// use quillcove_core::verdict::RefusalReason;
 ///
-/// assert_eq!(status_of(RefusalReason::Overloaded).as_u16(), 429);
+/// assert_eq!(http_status(RefusalReason::Overloaded).as_u16(), 429);
 /// ```
-pub fn status_of(reason: RefusalReason) -> StatusCode {
+pub fn http_status(reason: RefusalReason) -> StatusCode {
     match reason {
         RefusalReason::BadRequest => StatusCode::BAD_REQUEST,
         RefusalReason::Unknown => StatusCode::NOT_FOUND,
@@ -70,7 +70,7 @@
     json!({
         "error": {
             "message": message,
-            "type": error_type(status_of(refusal.reason)),
+            "type": error_type(http_status(refusal.reason)),
             "param": null,
             "code": refusal.reason.label(),
             "verdict": refusal.verdict.label(),
@@ -91,7 +91,7 @@
 /// ```
 pub fn refusal(refusal: &WorkRefusal, message: &str) -> WebAnswer {
     let mut response = Response::builder()
-        .status(status_of(refusal.reason))
+        .status(http_status(refusal.reason))
         .header(headers::VERDICT, refusal.verdict.label())
         .header(headers::REASON, refusal.reason.label())
         .header(header::CONTENT_TYPE, "application/json");
