--- a/quillcove/src/duty.rs
+++ b/quillcove/src/duty.rs
@@ -7,7 +7,7 @@
 
 /// The event was not queued because the ring is full or its duty has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RingFull;
+pub struct EventNotQueued;
 
 /// The sending half of a duty's event queue.
 #[derive(Debug)]
@@ -38,17 +38,17 @@
     ///
     /// # Errors
     ///
-    /// [`RingFull`], upon which the calling code rejects the work.
+    /// [`EventNotQueued`], upon which the calling code rejects the work.
     ///
     /// ```
     /// let (ring, events) = quillcove::duty::DutyRing::new(1);
     /// drop(events);
     /// assert!(ring.offer(1).is_err());
     /// ```
-    pub fn offer(&self, event: E) -> Result<(), RingFull> {
+    pub fn offer(&self, event: E) -> Result<(), EventNotQueued> {
         match self.sender.try_send(event) {
             Ok(()) => Ok(()),
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => Err(RingFull),
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => Err(EventNotQueued),
         }
     }
 
