--- a/quillcove/src/process.rs
+++ b/quillcove/src/process.rs
@@ -17,7 +17,7 @@
 use crate::operator::ProcessInspector;
 
 /// Builds the event that requests the state of a deciding duty.
-pub type DumpInput<I, V> = fn(oneshot::Sender<V>) -> I;
+pub type DumpEventBuilder<I, V> = fn(oneshot::Sender<V>) -> I;
 
 /// Handle to the duties of a running process.
 pub struct ProcessHandle<I> {
@@ -74,7 +74,7 @@
     /// let state: Option<u8> = handle.dump(|sender| sender);
     /// # }
     /// ```
-    pub fn dump<V>(&self, input: DumpInput<I, V>) -> Option<V> {
+    pub fn dump<V>(&self, input: DumpEventBuilder<I, V>) -> Option<V> {
         let (sender, receiver) = oneshot::channel();
         self.ring.put(input(sender));
         futures::executor::block_on(receiver).ok()
@@ -135,7 +135,7 @@
     /// Whether the process accepts new work.
     pub is_ready: Arc<AtomicBool>,
     /// Builds the event that requests the state.
-    pub input: DumpInput<I, V>,
+    pub input: DumpEventBuilder<I, V>,
 }
 
 impl<I: Send + 'static, V: Serialize + Send + 'static> ProcessInspector for DumpInspector<I, V> {
