--- a/quillcove/benches/capacity.rs
+++ b/quillcove/benches/capacity.rs
@@ -11,7 +11,7 @@
 use common::{ProcessSite, RoleProcess, SiteSize, get_json, state, wait_until};
 use http::Method;
 use quillcove_core::bundle::LoadLimits;
-use quillcove_core::permit::{PermitAsk, PermitKeeper};
+use quillcove_core::permit::{PermitIssuer, PermitRequest};
 use serde::Serialize;
 use serde_json::{Value, json};
 
@@ -218,15 +218,15 @@
 /// Time of one ask at the keeper, against the number of agents that ask.
 fn permits(points: &mut Vec<CapacityPoint>) {
     for agents in [12, 100, 400, 790] {
-        let mut keeper = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
-        let asks: Vec<PermitAsk> = (0..agents)
-            .map(|number| PermitAsk { host: format!("e{number}"), value: f64::from(number) })
+        let mut keeper = PermitIssuer::new(LoadLimits::default(), Duration::ZERO);
+        let asks: Vec<PermitRequest> = (0..agents)
+            .map(|number| PermitRequest { host: format!("e{number}"), value: f64::from(number) })
             .collect();
         let rounds = 40;
         let started = Instant::now();
         for round in 0..rounds {
             for ask in &asks {
-                keeper.ask(Duration::from_millis(round * 100), ask);
+                keeper.request_permit(Duration::from_millis(round * 100), ask);
             }
         }
         let seconds = started.elapsed().as_secs_f64() / (rounds as f64 * f64::from(agents));
--- a/quillcove/src/agent/calls.rs
+++ b/quillcove/src/agent/calls.rs
@@ -9,7 +9,7 @@
 use quillcove_core::bundle::signing::BundleHead;
 use quillcove_core::ids::{AttemptId, HostId, Incarnation};
 use quillcove_core::once::book::OnceState;
-use quillcove_core::permit::{PermitAnswer, PermitAsk, PermitKeeper};
+use quillcove_core::permit::{PermitIssuer, PermitRequest, PermitResponse};
 use quillcove_core::verdict::{RefusalReason, WorkRefusal};
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel};
@@ -18,7 +18,7 @@
 use tokio_serde::formats::Bincode;
 
 use super::input::AgentInput;
-use crate::bundle::shelf::FleetShelf;
+use crate::bundle::shelf::SharedFleetState;
 use crate::clock::MonoClock;
 use crate::control::AgentControl;
 use crate::duty::DutyRing;
@@ -33,39 +33,39 @@
 #[derive(Clone)]
 pub struct ControlService {
     pub ring: DutyRing<AgentInput>,
-    pub shelf: FleetShelf,
+    pub shelf: SharedFleetState,
     pub permits: Arc<PermitService>,
     pub clock: MonoClock,
 }
 
 /// The permit coordinator, with a notification for the requests that wait for a permit.
 pub struct PermitService {
-    coordinator: Mutex<PermitKeeper>,
+    coordinator: Mutex<PermitIssuer>,
     released: Notify,
 }
 
 impl PermitService {
-    pub fn new(coordinator: PermitKeeper) -> Self {
+    pub fn new(coordinator: PermitIssuer) -> Self {
         Self { coordinator: Mutex::new(coordinator), released: Notify::new() }
     }
 
-    fn lock_coordinator(&self) -> MutexGuard<'_, PermitKeeper> {
+    fn lock_coordinator(&self) -> MutexGuard<'_, PermitIssuer> {
         self.coordinator.lock().expect("no holder panics")
     }
 
     /// Holds a request open for up to [`PERMIT_WAIT_LIMIT`] instead of making its agent retry, so that a released
     /// permit is granted again at once. With many requests the coordinator is crowded; each is then answered at once,
     /// and its agent retries after the interval in the answer.
-    async fn request_permit(&self, clock: &MonoClock, request: &PermitAsk) -> PermitAnswer {
+    async fn request_permit(&self, clock: &MonoClock, request: &PermitRequest) -> PermitResponse {
         let deadline = clock.now() + PERMIT_WAIT_LIMIT;
         loop {
             let released = self.released.notified();
-            let answer = self.lock_coordinator().ask(clock.now(), request);
-            if answer == PermitAnswer::Granted || self.lock_coordinator().is_crowded() {
+            let answer = self.lock_coordinator().request_permit(clock.now(), request);
+            if answer == PermitResponse::Granted || self.lock_coordinator().is_saturated() {
                 return answer;
             }
             if clock.now() > deadline {
-                return PermitAnswer::Wait(Duration::ZERO);
+                return PermitResponse::Wait(Duration::ZERO);
             }
             let _ = timeout(PERMIT_RECHECK_INTERVAL, released).await;
         }
@@ -106,7 +106,7 @@
         self.query(input).await.unwrap_or(Err(unknown))
     }
 
-    async fn ask_permit(self, _: Context, ask: PermitAsk) -> PermitAnswer {
+    async fn ask_permit(self, _: Context, ask: PermitRequest) -> PermitResponse {
         let limits = self.shelf.bundle().map(|bundle| bundle.content.loads);
         if let Some(limits) = limits {
             self.permits.lock_coordinator().set_limits(limits);
@@ -115,7 +115,7 @@
     }
 
     async fn return_permit(self, _: Context, host: HostId) {
-        self.permits.lock_coordinator().give_back(&host);
+        self.permits.lock_coordinator().release_permit(&host);
         self.permits.released.notify_waiters();
     }
 
--- a/quillcove/src/agent/decide.rs
+++ b/quillcove/src/agent/decide.rs
@@ -19,17 +19,17 @@
 
 use super::input::{AgentInput, AttemptDecision};
 use super::orders::OrderTask;
-use crate::bundle::watch::WatchAsk;
+use crate::bundle::watch::WatchRequest;
 use crate::clock::MonoClock;
 use crate::duty;
-use crate::process::note_ready;
+use crate::process::update_readiness;
 
 /// State of the decision thread.
 pub struct DecideDuty {
     pub machine: AgentMachine,
     pub clock: MonoClock,
     pub order_tasks: mpsc::Sender<OrderTask>,
-    pub watch_requests: mpsc::Sender<WatchAsk>,
+    pub watch_requests: mpsc::Sender<WatchRequest>,
     pub halt: watch::Sender<bool>,
     pub is_ready: Arc<AtomicBool>,
     pub pending: HashMap<AttemptId, oneshot::Sender<AttemptDecision>>,
@@ -46,7 +46,9 @@
     fn handle_input(&mut self, input: Option<AgentInput>) -> bool {
         match input {
             None => self.handle(AgentEvent::Ticked),
-            Some(AgentInput::Event(AgentEvent::Said(notice))) => self.record_notice(notice),
+            Some(AgentInput::Event(AgentEvent::NoticeReceived(notice))) => {
+                self.record_notice(notice)
+            },
             Some(AgentInput::Event(event)) => self.handle(event),
             Some(AgentInput::InvalidNotice(fault)) => {
                 warn!(self.log, "word of the upstream not understood"; "fault" => fault);
@@ -57,7 +59,7 @@
                 let attempt = order.attempt;
                 let first = self.pending.remove(&attempt);
                 self.pending.insert(attempt, decision);
-                self.handle(AgentEvent::Arrived(order));
+                self.handle(AgentEvent::AttemptReceived(order));
                 if let Some(first) = first {
                     self.pending.insert(attempt, first);
                 }
@@ -65,18 +67,19 @@
             Some(AgentInput::Abandoned(attempt, incarnation)) => {
                 self.pending.remove(&attempt);
                 self.handle(AgentEvent::Withdrawn(attempt, incarnation));
-                self.handle(AgentEvent::Ended(attempt, RunEnd::NotRun));
+                self.handle(AgentEvent::RunEnded(attempt, RunEnd::NotRun));
             },
             Some(AgentInput::Withdraw(attempt, incarnation, answer)) => {
                 self.withdrawals.entry(attempt).or_default().push(answer);
                 self.handle(AgentEvent::Withdrawn(attempt, incarnation));
             },
             Some(AgentInput::IssueTicket(answer)) => {
-                let ticket = self.machine.book_mut().issue(self.clock.now());
+                let ticket = self.machine.once_book_mut().issue(self.clock.now());
                 let _ = answer.send(ticket);
             },
             Some(AgentInput::TicketState(ticket, answer)) => {
-                let state = self.machine.book_mut().state_of(self.clock.now(), &ticket);
+                let state =
+                    self.machine.once_book_mut().ticket_run_state(self.clock.now(), &ticket);
                 let _ = answer.send(state);
             },
             Some(AgentInput::Dump(answer)) => {
@@ -90,10 +93,10 @@
     /// Passes an upstream notice to the machine. An upstream repeats its notice with each response, so a log line is
     /// written only when the notice stops work or changes the rate limit.
     fn record_notice(&mut self, notice: UpstreamNotice) {
-        let accepted_work = self.machine.wants_work(self.clock.now());
+        let accepted_work = self.machine.accepts_work(self.clock.now());
         let before = self.machine.upstream_limit();
-        self.handle(AgentEvent::Said(notice));
-        let stops_work = accepted_work && !self.machine.wants_work(self.clock.now());
+        self.handle(AgentEvent::NoticeReceived(notice));
+        let stops_work = accepted_work && !self.machine.accepts_work(self.clock.now());
         if stops_work || before != self.machine.upstream_limit() {
             info!(self.log, "upstream said of itself"; "is_leaving" => notice.is_leaving,
                 "rest_ms" => notice.rest.map(|rest| rest.as_millis() as u64),
@@ -107,14 +110,14 @@
         for action in actions {
             self.execute(action);
         }
-        note_ready(&self.is_ready, self.machine.is_ready(), &self.log);
+        update_readiness(&self.is_ready, self.machine.is_ready(), &self.log);
     }
 
     fn execute(&mut self, action: AgentAction) {
         match action {
-            AgentAction::Start(attempt) => {
+            AgentAction::StartAttempt(attempt) => {
                 if !self.send_decision(attempt, Ok(())) {
-                    self.handle(AgentEvent::Ended(attempt, RunEnd::NotRun));
+                    self.handle(AgentEvent::RunEnded(attempt, RunEnd::NotRun));
                 }
             },
             AgentAction::Refuse(attempt, refusal) => {
@@ -125,14 +128,14 @@
                     let _ = reply.send(answer);
                 }
             },
-            AgentAction::Send(order) => self.queue_task(OrderTask::Send(order)),
-            AgentAction::AskPermit(value) => self.queue_task(OrderTask::AskPermit(value)),
+            AgentAction::SendOrder(order) => self.queue_task(OrderTask::Send(order)),
+            AgentAction::RequestPermit(value) => self.queue_task(OrderTask::AskPermit(value)),
             AgentAction::ReturnPermit => self.queue_task(OrderTask::ReturnPermit),
             AgentAction::ReadHosts => {
-                let _ = self.watch_requests.try_send(WatchAsk::ReadHosts);
+                let _ = self.watch_requests.try_send(WatchRequest::ReadHosts);
             },
-            AgentAction::WitnessBundle(version) => {
-                let _ = self.watch_requests.try_send(WatchAsk::Witness(version));
+            AgentAction::ReportNewerBundle(version) => {
+                let _ = self.watch_requests.try_send(WatchRequest::RecordUsedVersion(version));
             },
             AgentAction::Stopped => {
                 info!(self.log, "agent stopped");
@@ -146,7 +149,7 @@
         let Some(reply) = self.pending.remove(&attempt) else {
             return false;
         };
-        reply.send(AttemptDecision { verdict, update: self.machine.news() }).is_ok()
+        reply.send(AttemptDecision { verdict, update: self.machine.status() }).is_ok()
     }
 
     /// Queues a task for the order thread. The machine has few orders outstanding, so the queue is never full for
--- a/quillcove/src/agent/input.rs
+++ b/quillcove/src/agent/input.rs
@@ -2,7 +2,7 @@
 
 use quillcove_core::agent::event::{AgentEvent, RunOrder, WithdrawAnswer};
 use quillcove_core::agent::view::AgentView;
-use quillcove_core::entry::event::AgentNews;
+use quillcove_core::entry::event::AgentStatus;
 use quillcove_core::ids::{AttemptId, Incarnation};
 use quillcove_core::once::book::OnceState;
 use quillcove_core::verdict::WorkRefusal;
@@ -35,5 +35,5 @@
 pub struct AttemptDecision {
     /// `Ok` if the attempt is to be passed to the upstream.
     pub verdict: Result<(), WorkRefusal>,
-    pub update: AgentNews,
+    pub update: AgentStatus,
 }
--- a/quillcove/src/agent/mod.rs
+++ b/quillcove/src/agent/mod.rs
@@ -21,7 +21,7 @@
 use quillcove_core::agent::view::AgentView;
 use quillcove_core::ids::Incarnation;
 use quillcove_core::once::book::OnceBook;
-use quillcove_core::permit::PermitKeeper;
+use quillcove_core::permit::PermitIssuer;
 use slog::{Logger, info};
 use tokio::sync::{mpsc, watch};
 
@@ -30,15 +30,15 @@
 use self::input::AgentInput;
 use self::orders::OrderDuty;
 use self::serve::ServeContext;
-use crate::bundle::shelf::FleetShelf;
-use crate::bundle::watch::{FleetWatch, WatchNews};
+use crate::bundle::shelf::SharedFleetState;
+use crate::bundle::watch::{FleetWatch, WatchEvent};
 use crate::clock::MonoClock;
 use crate::config::agent::AgentSettings;
 use crate::duty::{self, DutyRing};
 use crate::metrics::ProcessMetrics;
 use crate::operator;
 use crate::platform::HttpPlatform;
-use crate::process::{DumpInspector, ProcessHandle, close_when_halted};
+use crate::process::{DumpInspector, ProcessHandle, close_on_stop};
 
 /// Number of inputs that may wait for the decision thread.
 const INPUT_QUEUE_CAPACITY: usize = 4096;
@@ -88,7 +88,7 @@
         let incarnation = rand::random::<u64>() | 1;
         let settings = Arc::new(settings);
         let metrics = Arc::new(ProcessMetrics::new("agent")?);
-        let shelf = FleetShelf::default();
+        let shelf = SharedFleetState::default();
         let (ring, inputs) = DutyRing::new(INPUT_QUEUE_CAPACITY);
         let (order_tasks, order_receiver) = mpsc::channel(TASK_QUEUE_CAPACITY);
         let (watch_requests, watch_receiver) = mpsc::channel(TASK_QUEUE_CAPACITY);
@@ -108,7 +108,7 @@
             log: log.clone(),
         };
         let orders = OrderDuty::new(settings.clone(), ring.clone(), shelf.clone(), metrics.clone());
-        let coordinator = PermitKeeper::new(Default::default(), clock.now());
+        let coordinator = PermitIssuer::new(Default::default(), clock.now());
         let permits = Arc::new(PermitService::new(coordinator));
         let control_service =
             ControlService { ring: ring.clone(), shelf: shelf.clone(), permits, clock };
@@ -143,7 +143,7 @@
         let own_control = Some(bound.control.to_string());
         let watch_ring = ring.clone();
         let host = settings.process.host.clone();
-        let notify = move |update: WatchNews| forward_watch_update(&watch_ring, &host, update);
+        let notify = move |update: WatchEvent| forward_watch_update(&watch_ring, &host, update);
         let platform = HttpPlatform::new(settings.platform.address, settings.platform.timeout);
         let sections = (settings.platform.clone(), settings.bundle.clone());
         let watch = FleetWatch::new(platform, sections, own_control, shelf, log.clone(), notify);
@@ -165,7 +165,7 @@
     /// # }
     /// ```
     pub fn stop(&self) {
-        self.handle.ring.put(AgentInput::Event(AgentEvent::StopAsked));
+        self.handle.ring.put(AgentInput::Event(AgentEvent::StopRequested));
     }
 
     /// Ends at once and aborts attempts in flight.
@@ -234,7 +234,7 @@
     let secret = rand::random();
     let now = clock.now();
     let book = OnceBook::new(host, incarnation, secret, settings.book_limits(), now);
-    let rules = AgentRules { least_term: seconds_since_epoch(), ..settings.rules() };
+    let rules = AgentRules { min_term: seconds_since_epoch(), ..settings.rules() };
     AgentMachine::new(host, incarnation, rules, book, now)
 }
 
@@ -247,12 +247,12 @@
 
 /// Passes an update from the watch thread to the machine. An agent that is missing from the host list is not treated
 /// as draining: the list may be older than the host.
-fn forward_watch_update(ring: &DutyRing<AgentInput>, host: &str, update: WatchNews) {
+fn forward_watch_update(ring: &DutyRing<AgentInput>, host: &str, update: WatchEvent) {
     let event = match update {
-        WatchNews::Bundle(bundle) => AgentEvent::BundleTaken(bundle),
-        WatchNews::Hosts(hosts) => {
+        WatchEvent::Bundle(bundle) => AgentEvent::BundleActivated(bundle),
+        WatchEvent::Hosts(hosts) => {
             let own = hosts.as_ref().and_then(|hosts| hosts.iter().find(|r| r.host == host));
-            AgentEvent::HostSeen(own.map(|record| record.state))
+            AgentEvent::HostStateRead(own.map(|record| record.state))
         },
     };
     ring.put(AgentInput::Event(event));
@@ -286,5 +286,5 @@
     let addresses =
         BoundAddresses { data: data.local_addr(), control, operator: operator.local_addr() };
     let _ = bound.send(Ok(addresses));
-    close_when_halted(data, halted).await;
+    close_on_stop(data, halted).await;
 }
--- a/quillcove/src/agent/orders.rs
+++ b/quillcove/src/agent/orders.rs
@@ -8,13 +8,13 @@
 use quillcove_core::agent::event::{
     AgentEvent, EngineOrder, EngineReport, HostState, OrderEnd, OrderKind, UpstreamKind,
 };
-use quillcove_core::permit::{KEEPER_KEY, PermitAnswer, PermitAsk};
+use quillcove_core::permit::{PERMIT_ISSUER_KEY, PermitRequest, PermitResponse};
 use quillcove_core::rendezvous;
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use super::input::AgentInput;
-use crate::bundle::shelf::FleetShelf;
+use crate::bundle::shelf::SharedFleetState;
 use crate::config::agent::AgentSettings;
 use crate::control::{AgentControlClient, ControlPool};
 use crate::duty::DutyRing;
@@ -47,7 +47,7 @@
 pub struct OrderDuty {
     settings: Arc<AgentSettings>,
     ring: DutyRing<AgentInput>,
-    shelf: FleetShelf,
+    shelf: SharedFleetState,
     metrics: Arc<ProcessMetrics>,
     client: WebClient,
     pool: ControlPool,
@@ -57,7 +57,7 @@
     pub fn new(
         settings: Arc<AgentSettings>,
         ring: DutyRing<AgentInput>,
-        shelf: FleetShelf,
+        shelf: SharedFleetState,
         metrics: Arc<ProcessMetrics>,
     ) -> Self {
         let client = WebClient::new(REPORT_TIMEOUT, Duration::from_secs(30));
@@ -82,7 +82,7 @@
                     let is_answered = self.read_report().await;
                     misses = if is_answered { 0 } else { misses + 1 };
                     if misses == MISSED_REPORT_LIMIT {
-                        self.send_event(AgentEvent::UpstreamLost);
+                        self.send_event(AgentEvent::UpstreamUnreachable);
                     }
                 },
             }
@@ -120,7 +120,8 @@
         }
         // A requested pause is read only from a 503, so that a report, which has status 200, has none that could be
         // invalid.
-        let (notice, _) = headers::notice(answer.status(), answer.headers(), SystemTime::now());
+        let (notice, _) =
+            headers::parse_upstream_notice(answer.status(), answer.headers(), SystemTime::now());
         let report = match upstream.kind {
             UpstreamKind::Service => Some(EngineReport::default()),
             UpstreamKind::Engine => serde_json::from_slice::<EngineReport>(answer.body()).ok(),
@@ -128,7 +129,7 @@
         match report {
             Some(report) => {
                 let leaving = report.leaving || notice.is_leaving;
-                self.send_event(AgentEvent::Reported(EngineReport { leaving, ..report }));
+                self.send_event(AgentEvent::ReportReceived(EngineReport { leaving, ..report }));
                 true
             },
             None => false,
@@ -149,15 +150,15 @@
             Ok(_) => OrderEnd::Failed,
             Err(_) => OrderEnd::Unknown,
         };
-        self.metrics.ordered(matches!(order.kind, OrderKind::Load(_)), outcome_label(end));
+        self.metrics.record_order(matches!(order.kind, OrderKind::Load(_)), outcome_label(end));
         self.send_event(AgentEvent::OrderEnded(order.fence, end));
     }
 
     /// Requests a permit from the coordinator. If there is none, or it does not answer, the load is delayed so that the
     /// agent keeps to an equal share of the load rate, which needs no coordination.
-    async fn ask_permit(&self, value: f64) -> PermitAnswer {
+    async fn ask_permit(&self, value: f64) -> PermitResponse {
         let host = self.settings.process.host.clone();
-        let ask = PermitAsk { host, value };
+        let ask = PermitRequest { host, value };
         if let Some(coordinator) = self.coordinator_address() {
             let request = |client: AgentControlClient, context| async move {
                 client.ask_permit(context, ask).await
@@ -167,7 +168,7 @@
             }
         }
         sleep(self.equal_share_interval()).await;
-        PermitAnswer::Granted
+        PermitResponse::Granted
     }
 
     fn equal_share_interval(&self) -> Duration {
@@ -198,7 +199,7 @@
     fn coordinator_address(&self) -> Option<String> {
         let hosts = self.engine_hosts();
         let names = hosts.iter().map(|(host, _)| host.as_str());
-        let coordinator = rendezvous::first(KEEPER_KEY, names)?;
+        let coordinator = rendezvous::first(PERMIT_ISSUER_KEY, names)?;
         hosts.iter().find(|(host, _)| host == coordinator).map(|(_, control)| control.clone())
     }
 }
--- a/quillcove/src/agent/serve.rs
+++ b/quillcove/src/agent/serve.rs
@@ -11,10 +11,10 @@
 use quillcove_core::agent::event::{AgentEvent, RunEnd, RunOrder, WorkTarget};
 use quillcove_core::agent::verdict_of;
 use quillcove_core::class::WorkClass;
-use quillcove_core::entry::event::AgentNews;
+use quillcove_core::entry::event::AgentStatus;
 use quillcove_core::ids::{AttemptId, Incarnation};
 use quillcove_core::once::book::OnceClaim;
-use quillcove_core::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
+use quillcove_core::verdict::{RefusalReason, RunVerdict, SHORT_RETRY_DELAY, WorkRefusal};
 use slog::Logger;
 use tokio::sync::oneshot;
 
@@ -24,11 +24,11 @@
 use crate::duty::DutyRing;
 use crate::logging::quiet;
 use crate::metrics::ProcessMetrics;
-use crate::web::answer::{WebAnswer, explain, internal, refusal};
+use crate::web::answer::{HandlerResult, internal_error, refusal, refusal_message};
 use crate::web::body::{self, BodyEnd, WatchedBody};
 use crate::web::client::{WebClient, WebError};
 use crate::web::headers;
-use crate::web::server::{self, RestPath, register_any_method};
+use crate::web::server::{self, WildcardPath, register_any_method};
 
 /// Maximum body size of an attempt, in bytes. Callers are bound by the entry's limit.
 const REQUEST_BODY_LIMIT: usize = 64 << 20;
@@ -85,22 +85,22 @@
 
     /// Records the upstream status that a response to an attempt carries in its headers.
     fn record_notice(&self, attempt: AttemptId, status: StatusCode, headers: &HeaderMap) {
-        let (notice, fault) = headers::notice(status, headers, SystemTime::now());
+        let (notice, fault) = headers::parse_upstream_notice(status, headers, SystemTime::now());
         let is_plain = notice.limit.is_none() && fault.is_none();
         if let Some(fault) = fault {
             self.ring.put(AgentInput::InvalidNotice(fault));
         }
         if is_plain && status.is_success() {
-            self.ring.put(AgentInput::Event(AgentEvent::NamedNoLimit(attempt)));
+            self.ring.put(AgentInput::Event(AgentEvent::NoLimitAnnounced(attempt)));
         }
         if !notice.is_blank() {
-            self.metrics.replica_said(&notice);
-            self.ring.put(AgentInput::Event(AgentEvent::Said(notice)));
+            self.metrics.record_notice(&notice);
+            self.ring.put(AgentInput::Event(AgentEvent::NoticeReceived(notice)));
         }
     }
 
     fn report_end(&self, attempt: AttemptId, end: RunEnd) {
-        self.ring.put(AgentInput::Event(AgentEvent::Ended(attempt, end)));
+        self.ring.put(AgentInput::Event(AgentEvent::RunEnded(attempt, end)));
     }
 }
 
@@ -130,9 +130,9 @@
 
 async fn handle_attempt(
     context: RequestContext<ServeContext>,
-    _path: Path<RestPath>,
+    _path: Path<WildcardPath>,
     body: StreamingBody,
-) -> WebAnswer {
+) -> HandlerResult {
     let state = context.context().clone();
     let request = &context.request;
     let order = match parse_order(&state, request.headers()) {
@@ -142,19 +142,19 @@
             return mark_rejected(refusal(&bad, &message), None);
         },
     };
-    let rest = server::rest_of(request.uri(), 1);
+    let rest = server::path_after(request.uri(), 1);
     let upstream = &state.settings.upstream;
     let call = UpstreamCall {
         method: request.method().clone(),
         uri: format!("http://{}{}/{rest}", upstream.address, upstream.path_prefix),
-        headers: headers::passed(request.headers()),
+        headers: headers::forwarded_headers(request.headers()),
         body: body::read(body).await?,
     };
     run_attempt(state, order, call).await
 }
 
 /// Waits for the decision on an attempt and passes the attempt to the upstream.
-async fn run_attempt(state: ServeContext, order: RunOrder, call: UpstreamCall) -> WebAnswer {
+async fn run_attempt(state: ServeContext, order: RunOrder, call: UpstreamCall) -> HandlerResult {
     let attempt = order.attempt;
     let class = order.class;
     let target = order.target.clone();
@@ -164,7 +164,7 @@
         None => state.client.clone(),
     };
     let arrived = state.clock.now();
-    state.metrics.attempted(true);
+    state.metrics.record_attempt(true);
     let mut guard = AttemptGuard {
         ring: state.ring.clone(),
         attempt,
@@ -174,19 +174,19 @@
     let (sender, receiver) = oneshot::channel();
     if state.ring.offer(AgentInput::Attempt(order, sender)).is_err() {
         let full = WorkRefusal::overloaded();
-        return mark_rejected(refusal(&full, explain(full.reason)), None);
+        return mark_rejected(refusal(&full, refusal_message(full.reason)), None);
     }
     let Ok(AttemptDecision { verdict, update }) = receiver.await else {
         let gone = WorkRefusal::may_have_run(RefusalReason::Leaving);
-        return mark_rejected(refusal(&gone, explain(gone.reason)), None);
+        return mark_rejected(refusal(&gone, refusal_message(gone.reason)), None);
     };
     guard.is_armed = false;
     if let Err(refused) = verdict {
-        state.metrics.refused(refused.reason, class);
-        return mark_rejected(refusal(&refused, explain(refused.reason)), Some(&update));
+        state.metrics.record_refusal(refused.reason, class);
+        return mark_rejected(refusal(&refused, refusal_message(refused.reason)), Some(&update));
     }
     let waited = state.clock.now().saturating_sub(arrived);
-    state.metrics.stalled(class, waited);
+    state.metrics.record_stall(class, waited);
     let answer = match target {
         WorkTarget::Adapter(_) => stream_from_engine(state, attempt, class, call, update).await,
         WorkTarget::Service => {
@@ -208,8 +208,8 @@
     attempt: AttemptId,
     class: WorkClass,
     call: UpstreamCall,
-    update: AgentNews,
-) -> WebAnswer {
+    update: AgentStatus,
+) -> HandlerResult {
     let mut end_guard = RunEndGuard { state: state.clone(), attempt, end: Some(RunEnd::Broken) };
     let response = match state.client.send(upstream_request(call)?).await {
         Ok(response) => response,
@@ -229,7 +229,11 @@
             BodyEnd::Whole => RunEnd::Complete(status),
             BodyEnd::Broken | BodyEnd::Dropped => RunEnd::Broken,
         };
-        state.metrics.finished(verdict_of(end), class, state.clock.now().saturating_sub(started));
+        state.metrics.record_finish(
+            verdict_of(end),
+            class,
+            state.clock.now().saturating_sub(started),
+        );
         state.report_end(attempt, end);
     });
     upstream_response(parts, Body::wrap(body), &update)
@@ -242,8 +246,8 @@
     attempt: AttemptId,
     class: WorkClass,
     exchange: impl Future<Output = Result<BufferedResponse, WebError>> + Send + 'static,
-    update: AgentNews,
-) -> WebAnswer {
+    update: AgentStatus,
+) -> HandlerResult {
     let task = tokio::spawn(async move {
         let started = state.clock.now();
         let exchange = exchange.await;
@@ -254,11 +258,15 @@
             Ok((parts, _)) => RunEnd::Complete(parts.status.as_u16()),
             Err(error) => run_end(error),
         };
-        state.metrics.finished(verdict_of(end), class, state.clock.now().saturating_sub(started));
+        state.metrics.record_finish(
+            verdict_of(end),
+            class,
+            state.clock.now().saturating_sub(started),
+        );
         state.report_end(attempt, end);
         exchange
     });
-    match task.await.map_err(internal)? {
+    match task.await.map_err(internal_error)? {
         Ok((parts, body)) => upstream_response(parts, Body::from(body), &update),
         Err(error) => error_response(&error, &update),
     }
@@ -292,7 +300,7 @@
 }
 
 impl RunEndGuard {
-    fn fail(&mut self, error: &WebError, update: &AgentNews) -> WebAnswer {
+    fn fail(&mut self, error: &WebError, update: &AgentStatus) -> HandlerResult {
         self.end = Some(run_end(error));
         error_response(error, update)
     }
@@ -315,8 +323,8 @@
     }
 }
 
-fn error_response(error: &WebError, update: &AgentNews) -> WebAnswer {
-    let soon = Some(SOON);
+fn error_response(error: &WebError, update: &AgentStatus) -> HandlerResult {
+    let soon = Some(SHORT_RETRY_DELAY);
     let refused = match (run_end(error), error) {
         (RunEnd::NotRun, WebError::Status(_)) => {
             WorkRefusal::not_run(RefusalReason::LoadFailed, soon)
@@ -324,7 +332,7 @@
         (RunEnd::NotRun, _) => WorkRefusal::not_run(RefusalReason::UpstreamDown, soon),
         _ => WorkRefusal::may_have_run(RefusalReason::UpstreamBroke),
     };
-    mark_rejected(refusal(&refused, explain(refused.reason)), Some(update))
+    mark_rejected(refusal(&refused, refusal_message(refused.reason)), Some(update))
 }
 
 fn upstream_request(call: UpstreamCall) -> Result<Request<Full<Bytes>>, dropshot::HttpError> {
@@ -332,21 +340,25 @@
     if let Some(headers) = request.headers_mut() {
         *headers = call.headers;
     }
-    request.body(Full::new(call.body)).map_err(internal)
+    request.body(Full::new(call.body)).map_err(internal_error)
 }
 
 /// Returns the upstream's response with the agent's state update.
-fn upstream_response(parts: http::response::Parts, body: Body, update: &AgentNews) -> WebAnswer {
+fn upstream_response(
+    parts: http::response::Parts,
+    body: Body,
+    update: &AgentStatus,
+) -> HandlerResult {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
-    *response.headers_mut() = headers::passed(&parts.headers);
+    *response.headers_mut() = headers::forwarded_headers(&parts.headers);
     let verdict = header::HeaderValue::from_static(RunVerdict::Ran.label());
     response.headers_mut().insert(headers::VERDICT, verdict);
     attach_update(&mut response, update);
     Ok(response)
 }
 
-fn mark_rejected(answer: WebAnswer, update: Option<&AgentNews>) -> WebAnswer {
+fn mark_rejected(answer: HandlerResult, update: Option<&AgentStatus>) -> HandlerResult {
     let mut response = answer?;
     let mark = header::HeaderValue::from_static("yes");
     response.headers_mut().insert(headers::REFUSED, mark);
@@ -356,10 +368,10 @@
     Ok(response)
 }
 
-fn attach_update(response: &mut Response<Body>, update: &AgentNews) {
+fn attach_update(response: &mut Response<Body>, update: &AgentStatus) {
     let text = serde_json::to_string(update).unwrap_or_default();
     if let Ok(value) = header::HeaderValue::from_str(&text) {
-        response.headers_mut().insert(headers::NEWS, value);
+        response.headers_mut().insert(headers::AGENT_STATUS, value);
     }
 }
 
--- a/quillcove/src/bundle/watch.rs
+++ b/quillcove/src/bundle/watch.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-use super::shelf::FleetShelf;
+use super::shelf::SharedFleetState;
 use super::{HEAD_VALUE, delta_value, text_value};
 use crate::config::shared::{BundleSection, PlatformSection};
 use crate::control::ControlPool;
@@ -44,7 +44,7 @@
 
 /// Event that the watch passes to the thread that makes decisions.
 #[derive(Clone, Debug)]
-pub enum WatchNews {
+pub enum WatchEvent {
     /// A newer bundle is in force.
     Bundle(Arc<FleetBundle>),
     /// The host list was read; `None` if it could not be read.
@@ -53,13 +53,13 @@
 
 /// Request from the thread that makes decisions to the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WatchAsk {
+pub enum WatchRequest {
     /// Read the host list now.
     ReadHosts,
     /// Look for a newer bundle at other agents.
-    SeekBundle,
+    FetchFromPeers,
     /// Accept no version lower than this one, on which the upstream acted.
-    Witness(BundleVersion),
+    RecordUsedVersion(BundleVersion),
 }
 
 /// Watches the platform and keeps the shared bundle and host list up to date.
@@ -69,7 +69,7 @@
     peers: Vec<String>,
     own_control: Option<String>,
     gate: BundleGate,
-    shelf: FleetShelf,
+    shelf: SharedFleetState,
     pool: ControlPool,
     revision: Option<u64>,
     hosts_revision: Option<u64>,
@@ -77,24 +77,24 @@
     log: Logger,
 }
 
-impl<P: PlatformPort, N: Fn(WatchNews)> FleetWatch<P, N> {
+impl<P: PlatformPort, N: Fn(WatchEvent)> FleetWatch<P, N> {
     /// Creates a watch that passes its events to `notify`.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove::bundle::{shelf::FleetShelf, watch::FleetWatch};
+    /// use quillcove::bundle::{shelf::SharedFleetState, watch::FleetWatch};
     /// use quillcove::platform::HttpPlatform;
     ///
     /// let platform = HttpPlatform::new("127.0.0.1:1".parse().unwrap(), Duration::from_secs(1));
     /// let sections = (Default::default(), Default::default());
     /// let log = quillcove::logging::silent();
-    /// FleetWatch::new(platform, sections, None, FleetShelf::default(), log, |_| ());
+    /// FleetWatch::new(platform, sections, None, SharedFleetState::default(), log, |_| ());
     /// ```
     pub fn new(
         platform: P,
         sections: (PlatformSection, BundleSection),
         own_control: Option<String>,
-        shelf: FleetShelf,
+        shelf: SharedFleetState,
         log: Logger,
         notify: N,
     ) -> Self {
@@ -119,13 +119,13 @@
     ///
     /// ```no_run
     /// # async fn run<P: quillcove::platform::PlatformPort>(
-    /// #     watch: quillcove::bundle::watch::FleetWatch<P, fn(quillcove::bundle::watch::WatchNews)>,
+    /// #     watch: quillcove::bundle::watch::FleetWatch<P, fn(quillcove::bundle::watch::WatchEvent)>,
     /// # ) {
     /// let (_asks, receiver) = tokio::sync::mpsc::channel(16);
     /// watch.run(receiver).await;
     /// # }
     /// ```
-    pub async fn run(mut self, mut asks: mpsc::Receiver<WatchAsk>) {
+    pub async fn run(mut self, mut asks: mpsc::Receiver<WatchRequest>) {
         self.fetch_hosts().await;
         self.fetch_bundle(Duration::ZERO).await;
         // The platform's copy may be stale; a process without an earlier bundle can not detect that.
@@ -148,9 +148,9 @@
             tokio::select! {
                 ask = asks.recv() => match ask {
                     None => return,
-                    Some(WatchAsk::ReadHosts) => self.fetch_hosts().await,
-                    Some(WatchAsk::SeekBundle) => self.fetch_from_peers().await,
-                    Some(WatchAsk::Witness(version)) => self.record_used_version(version).await,
+                    Some(WatchRequest::ReadHosts) => self.fetch_hosts().await,
+                    Some(WatchRequest::FetchFromPeers) => self.fetch_from_peers().await,
+                    Some(WatchRequest::RecordUsedVersion(version)) => self.record_used_version(version).await,
                 },
                 found = hosts => {
                     hosts_call = match found.is_ok() {
@@ -203,7 +203,7 @@
                 Some(list.hosts)
             },
         };
-        (self.notify)(WatchNews::Hosts(hosts));
+        (self.notify)(WatchEvent::Hosts(hosts));
     }
 
     /// Fetches the newest bundle, from other agents if the platform can not be read.
@@ -224,7 +224,7 @@
             return;
         }
         info!(self.log, "the upstream acted on a newer bundle"; "version" => version);
-        self.gate.witness(version);
+        self.gate.record_used_version(version);
         self.shelf.set_bundle(self.gate.in_force().cloned());
         self.revision = None;
         self.fetch_from_peers().await;
@@ -241,7 +241,7 @@
                 return true;
             },
         };
-        let held = self.gate.held().map(|held| held.head.clone());
+        let held = self.gate.last_accepted().map(|held| held.head.clone());
         if held.as_ref() == Some(&head) {
             self.revision = Some(revision);
             return true;
@@ -264,7 +264,7 @@
         if held == 0 || steps == 0 || steps > DELTA_LIMIT {
             return None;
         }
-        let mut text = self.gate.held()?.text.to_string();
+        let mut text = self.gate.last_accepted()?.text.to_string();
         for version in held + 1..=head.version {
             let value = self.platform.value(&delta_value(version), None, Duration::ZERO).await;
             let delta: BundleDelta = serde_json::from_slice(&value.ok()??.content).ok()?;
@@ -281,14 +281,14 @@
     /// Offers a bundle to the gate; if it is accepted, shares it and notifies of it.
     fn offer_bundle(&mut self, head: &BundleHead, text: &str) {
         match self.gate.offer(head, text) {
-            Ok(GateChange::Same) => {},
-            Ok(GateChange::Taken) => {
+            Ok(GateChange::Unchanged) => {},
+            Ok(GateChange::Accepted) => {
                 let held = self.gate.in_force().cloned();
                 let content = held.as_ref().map(|held| held.content.clone());
                 self.shelf.set_bundle(held);
                 info!(self.log, "bundle in force"; "version" => head.version);
                 if let Some(content) = content {
-                    (self.notify)(WatchNews::Bundle(content));
+                    (self.notify)(WatchEvent::Bundle(content));
                 }
             },
             Err(error) => {
@@ -306,7 +306,7 @@
             let Ok(Some(head)) = self.pool.call(&peer, PEER_TIMEOUT, fetch_head).await else {
                 continue;
             };
-            let held = self.gate.held().map_or(0, |held| held.head.version);
+            let held = self.gate.last_accepted().map_or(0, |held| held.head.version);
             if head.version <= held {
                 continue;
             }
--- a/quillcove/src/clock.rs
+++ b/quillcove/src/clock.rs
@@ -35,11 +35,11 @@
     /// use std::sync::atomic::{AtomicU64, Ordering};
     ///
     /// let ahead: &'static AtomicU64 = Box::leak(Box::new(AtomicU64::new(0)));
-    /// let clock = quillcove::clock::MonoClock::start_shifted(ahead);
+    /// let clock = quillcove::clock::MonoClock::start_with_offset(ahead);
     /// ahead.store(5000, Ordering::Relaxed);
     /// assert!(clock.now().as_secs() >= 5);
     /// ```
-    pub fn start_shifted(ahead: &'static AtomicU64) -> Self {
+    pub fn start_with_offset(ahead: &'static AtomicU64) -> Self {
         Self { start: since_boot(), ahead: Some(ahead) }
     }
 
--- a/quillcove/src/config/relay.rs
+++ b/quillcove/src/config/relay.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use quillcove_core::access::limit::{LimitRule, LimitRules};
-use quillcove_core::access::right::RightRules;
+use quillcove_core::access::right::KeyValidityRules;
 use quillcove_core::relay::machine::RelayRules;
 use quillcove_core::relay::policy::{
     CopyRule, PlacementRule, PriorityRule, RelayPolicy, RoutingRule, SharingRule, WaitingRule,
@@ -84,7 +84,7 @@
             request_limit: self.requests.limit,
             drain_time: self.platform.drain_time,
             policy: self.policy.0,
-            right: RightRules { bound: self.access.revocation_time },
+            right: KeyValidityRules { bound: self.access.revocation_time },
             limits: LimitRules {
                 window: self.access.limit_window,
                 overshoot: self.access.limit_overshoot,
--- a/quillcove/src/control.rs
+++ b/quillcove/src/control.rs
@@ -9,7 +9,7 @@
 use quillcove_core::bundle::signing::BundleHead;
 use quillcove_core::ids::{AttemptId, HostId, Incarnation};
 use quillcove_core::once::book::OnceState;
-use quillcove_core::permit::{PermitAnswer, PermitAsk};
+use quillcove_core::permit::{PermitRequest, PermitResponse};
 use quillcove_core::verdict::WorkRefusal;
 use tarpc::client::Config;
 use tarpc::context::Context;
@@ -26,7 +26,7 @@
     /// Returns the state of a ticket's request; `None` if the ticket has not been used yet.
     async fn ticket_state(ticket: String) -> Result<Option<OnceState>, WorkRefusal>;
     /// Requests a permit to load a base model from this agent, as the load rate coordinator.
-    async fn ask_permit(ask: PermitAsk) -> PermitAnswer;
+    async fn ask_permit(ask: PermitRequest) -> PermitResponse;
     /// Returns the load permit of a host.
     async fn return_permit(host: HostId);
     /// Returns the head of the bundle in force at this agent.
--- a/quillcove/src/entry/admit.rs
+++ b/quillcove/src/entry/admit.rs
@@ -207,7 +207,7 @@
         return Ok(None);
     }
     if let Some(ticket) = &options.ticket {
-        let ticket = RunTicket::peek(ticket).ok_or(AdmitError {
+        let ticket = RunTicket::decode_unverified(ticket).ok_or(AdmitError {
             reason: RefusalReason::BadRequest,
             message: "Quillcove-Ticket can not be read".to_string(),
         })?;
--- a/quillcove/src/entry/attempt.rs
+++ b/quillcove/src/entry/attempt.rs
@@ -14,10 +14,10 @@
 use quillcove_core::class::WorkClass;
 use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
 use quillcove_core::entry::event::{
-    AgentNews, AttemptEnd, AttemptOrder, EntryEvent, RepeatRule, RouteQuery,
+    AgentStatus, AttemptEnd, AttemptOrder, EntryEvent, RepeatRule, RouteQuery,
 };
 use quillcove_core::ids::{MonoTime, RequestId};
-use quillcove_core::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
+use quillcove_core::verdict::{RefusalReason, RunVerdict, SHORT_RETRY_DELAY, WorkRefusal};
 use tokio::sync::{mpsc, oneshot};
 
 use super::admit::{self, RequestOptions};
@@ -25,7 +25,7 @@
 use super::decide::{EntryInput, RequestStep, STEP_QUEUE_CAPACITY};
 use crate::control::AgentControlClient;
 use crate::duty::DutyRing;
-use crate::web::answer::{WebAnswer, explain, internal, refusal, refusal_body};
+use crate::web::answer::{HandlerResult, internal_error, refusal, refusal_body, refusal_message};
 use crate::web::body::{BodyEnd, WatchedBody};
 use crate::web::client::WebError;
 use crate::web::headers;
@@ -79,7 +79,7 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.ring.put(EntryInput::Event(EntryEvent::Done(self.request)));
+        self.ring.put(EntryInput::Event(EntryEvent::RequestDone(self.request)));
     }
 }
 
@@ -93,12 +93,12 @@
 impl RequestTimer {
     fn record_finish(&self, verdict: RunVerdict) {
         let took = self.state.clock.now().saturating_sub(self.started);
-        self.state.metrics.finished(verdict, self.class, took);
+        self.state.metrics.record_finish(verdict, self.class, took);
     }
 }
 
 /// Makes attempts as the state machine orders them and returns the response to the caller.
-pub async fn run(state: &ServeContext, outgoing: OutgoingRequest) -> WebAnswer {
+pub async fn run(state: &ServeContext, outgoing: OutgoingRequest) -> HandlerResult {
     let request = outgoing.query.request;
     let (sender, mut steps) = mpsc::channel(STEP_QUEUE_CAPACITY);
     let timer = RequestTimer {
@@ -117,7 +117,7 @@
             RequestStep::Finish(refused) => return respond_refused(&timer, request, &refused),
             RequestStep::Send(order) => order,
         };
-        state.metrics.attempted(is_first);
+        state.metrics.record_attempt(is_first);
         is_first = false;
         let (end, response) = attempt(state, &outgoing, &order).await;
         notify_machine(state, EntryEvent::AttemptEnded(order.attempt, end));
@@ -134,16 +134,20 @@
 }
 
 /// Records a refusal and returns it as the response to the caller.
-fn respond_refused(timer: &RequestTimer, request: RequestId, refused: &WorkRefusal) -> WebAnswer {
-    timer.state.metrics.refused(refused.reason, timer.class);
+fn respond_refused(
+    timer: &RequestTimer,
+    request: RequestId,
+    refused: &WorkRefusal,
+) -> HandlerResult {
+    timer.state.metrics.record_refusal(refused.reason, timer.class);
     timer.record_finish(refused.verdict);
-    with_request_id(refusal(refused, explain(refused.reason)), request)
+    with_request_id(refusal(refused, refusal_message(refused.reason)), request)
 }
 
 /// Adds the request's ID to a response.
-pub fn with_request_id(answer: WebAnswer, request: RequestId) -> WebAnswer {
+pub fn with_request_id(answer: HandlerResult, request: RequestId) -> HandlerResult {
     let mut response = answer?;
-    let id = HeaderValue::from_str(&format!("{request:030x}")).map_err(internal)?;
+    let id = HeaderValue::from_str(&format!("{request:030x}")).map_err(internal_error)?;
     response.headers_mut().insert(headers::REQUEST_ID, id);
     Ok(response)
 }
@@ -177,9 +181,9 @@
     order: &AttemptOrder,
     response: Response<Incoming>,
 ) -> (AttemptEnd, Option<Response<Incoming>>) {
-    let report = headers::text(response.headers(), headers::NEWS);
-    if let Some(report) = report.and_then(|text| serde_json::from_str::<AgentNews>(text).ok()) {
-        notify_machine(state, EntryEvent::Heard(order.host.clone(), report));
+    let report = headers::text(response.headers(), headers::AGENT_STATUS);
+    if let Some(report) = report.and_then(|text| serde_json::from_str::<AgentStatus>(text).ok()) {
+        notify_machine(state, EntryEvent::StatusReceived(order.host.clone(), report));
     }
     if !response.headers().contains_key(headers::REFUSED) {
         return match response.headers().contains_key(headers::VERDICT) {
@@ -216,9 +220,10 @@
         client.withdraw(context, attempt, incarnation).await
     };
     match state.pool.call(&control, WITHDRAW_TIMEOUT, send_withdrawal).await {
-        Ok(WithdrawAnswer::NotRun) => {
-            AttemptEnd::Refused(WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SOON)))
-        },
+        Ok(WithdrawAnswer::NotRun) => AttemptEnd::Refused(WorkRefusal::not_run(
+            RefusalReason::UpstreamDown,
+            Some(SHORT_RETRY_DELAY),
+        )),
         Ok(WithdrawAnswer::MayHaveRun) | Err(_) => AttemptEnd::Lost,
     }
 }
@@ -273,9 +278,9 @@
     response: Response<Incoming>,
     timer: RequestTimer,
     guard: RequestGuard,
-) -> WebAnswer {
+) -> HandlerResult {
     let took = state.clock.now().saturating_sub(timer.started);
-    state.metrics.answered(timer.class, took);
+    state.metrics.record_first_byte(timer.class, took);
     let request = outgoing.query.request;
     let is_stream = outgoing.is_stream && response.status() == StatusCode::OK;
     let (parts, incoming) = response.into_parts();
@@ -287,12 +292,12 @@
         drop(guard);
     });
     let body = match is_stream {
-        true => body.ending_with(broken_stream_event),
+        true => body.with_end_chunk(broken_stream_event),
         false => body,
     };
     let mut answer = Response::new(Body::wrap(body));
     *answer.status_mut() = parts.status;
-    *answer.headers_mut() = headers::passed(&parts.headers);
+    *answer.headers_mut() = headers::forwarded_headers(&parts.headers);
     if let Some(waited) = parts.headers.get(headers::WAITED_MS) {
         answer.headers_mut().insert(headers::WAITED_MS, waited.clone());
     }
@@ -309,6 +314,6 @@
 /// Returns the error event for a stream that broke off, and nothing for any other end.
 fn broken_stream_event(end: BodyEnd) -> Option<Bytes> {
     let refused = WorkRefusal::may_have_run(RefusalReason::UpstreamBroke);
-    let body = refusal_body(&refused, explain(refused.reason));
+    let body = refusal_body(&refused, refusal_message(refused.reason));
     (end == BodyEnd::Broken).then(|| Bytes::from(format!("\n\nevent: error\ndata: {body}\n\n")))
 }
--- a/quillcove/src/entry/context.rs
+++ b/quillcove/src/entry/context.rs
@@ -8,13 +8,13 @@
 
 use super::admit::AdmitError;
 use super::decide::EntryInput;
-use crate::bundle::shelf::FleetShelf;
+use crate::bundle::shelf::SharedFleetState;
 use crate::clock::MonoClock;
 use crate::config::entry::EntrySettings;
 use crate::control::ControlPool;
 use crate::duty::DutyRing;
 use crate::metrics::ProcessMetrics;
-use crate::web::answer::explain;
+use crate::web::answer::refusal_message;
 use crate::web::client::WebClient;
 
 /// Time after which unused connections to agents are closed.
@@ -25,7 +25,7 @@
 pub struct ServeContext {
     pub settings: Arc<EntrySettings>,
     pub ring: DutyRing<EntryInput>,
-    pub shelf: FleetShelf,
+    pub shelf: SharedFleetState,
     pub clock: MonoClock,
     pub metrics: Arc<ProcessMetrics>,
     pub client: WebClient,
@@ -36,7 +36,7 @@
     pub fn new(
         settings: Arc<EntrySettings>,
         ring: DutyRing<EntryInput>,
-        shelf: FleetShelf,
+        shelf: SharedFleetState,
         clock: MonoClock,
         metrics: Arc<ProcessMetrics>,
     ) -> Self {
@@ -52,7 +52,7 @@
     pub fn bundle(&self) -> Result<Arc<FleetBundle>, AdmitError> {
         let active = self.shelf.bundle().ok_or_else(|| AdmitError {
             reason: RefusalReason::BundleMissing,
-            message: explain(RefusalReason::BundleMissing).to_string(),
+            message: refusal_message(RefusalReason::BundleMissing).to_string(),
         })?;
         Ok(active.content)
     }
--- a/quillcove/src/entry/decide.rs
+++ b/quillcove/src/entry/decide.rs
@@ -14,10 +14,10 @@
 use slog::{Logger, info};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::bundle::watch::WatchAsk;
+use crate::bundle::watch::WatchRequest;
 use crate::clock::MonoClock;
 use crate::duty;
-use crate::process::note_ready;
+use crate::process::update_readiness;
 
 /// Capacity of the step queue of a request's handler, which never has more than one step pending.
 pub const STEP_QUEUE_CAPACITY: usize = 4;
@@ -49,7 +49,7 @@
 pub struct DecideDuty {
     pub machine: EntryMachine,
     pub clock: MonoClock,
-    pub watch_requests: mpsc::Sender<WatchAsk>,
+    pub watch_requests: mpsc::Sender<WatchRequest>,
     pub halt: watch::Sender<bool>,
     pub is_ready: Arc<AtomicBool>,
     pub step_senders: HashMap<RequestId, mpsc::Sender<RequestStep>>,
@@ -67,7 +67,7 @@
         match input {
             None => self.handle(EntryEvent::Ticked),
             Some(EntryInput::Event(event)) => {
-                if let EntryEvent::Done(request) = event {
+                if let EntryEvent::RequestDone(request) = event {
                     self.step_senders.remove(&request);
                 }
                 self.handle(event);
@@ -77,7 +77,7 @@
                 self.handle(EntryEvent::Admitted(query));
             },
             Some(EntryInput::FindControl(host, answer)) => {
-                let _ = answer.send(self.machine.control_of(&host));
+                let _ = answer.send(self.machine.control_address(&host));
             },
             Some(EntryInput::Dump(answer)) => {
                 let _ = answer.send(self.machine.view(self.clock.now()));
@@ -93,7 +93,7 @@
         for action in actions {
             self.execute(action);
         }
-        note_ready(&self.is_ready, self.machine.is_ready(), &self.log);
+        update_readiness(&self.is_ready, self.machine.is_ready(), &self.log);
     }
 
     fn execute(&mut self, action: EntryAction) {
@@ -102,15 +102,15 @@
                 let request = order.request;
                 self.send_step(request, RequestStep::Send(order));
             },
-            EntryAction::Finish(request, refusal) => {
+            EntryAction::Reject(request, refusal) => {
                 self.send_step(request, RequestStep::Finish(refusal));
                 self.step_senders.remove(&request);
             },
             EntryAction::ReadHosts => {
-                let _ = self.watch_requests.try_send(WatchAsk::ReadHosts);
+                let _ = self.watch_requests.try_send(WatchRequest::ReadHosts);
             },
-            EntryAction::SeekBundle => {
-                let _ = self.watch_requests.try_send(WatchAsk::SeekBundle);
+            EntryAction::RequestBundle => {
+                let _ = self.watch_requests.try_send(WatchRequest::FetchFromPeers);
             },
             EntryAction::Stopped => {
                 info!(self.log, "entry stopped");
--- a/quillcove/src/entry/mod.rs
+++ b/quillcove/src/entry/mod.rs
@@ -22,15 +22,15 @@
 
 use self::context::ServeContext;
 use self::decide::{DecideDuty, EntryInput};
-use crate::bundle::shelf::FleetShelf;
-use crate::bundle::watch::{FleetWatch, WatchNews};
+use crate::bundle::shelf::SharedFleetState;
+use crate::bundle::watch::{FleetWatch, WatchEvent};
 use crate::clock::MonoClock;
 use crate::config::entry::EntrySettings;
 use crate::duty::{self, DutyRing};
 use crate::metrics::ProcessMetrics;
 use crate::operator;
 use crate::platform::HttpPlatform;
-use crate::process::{DumpInspector, ProcessHandle, close_when_halted};
+use crate::process::{DumpInspector, ProcessHandle, close_on_stop};
 
 /// Capacity of the event queue of the `decide` thread.
 const EVENT_QUEUE_CAPACITY: usize = 8192;
@@ -70,7 +70,7 @@
         let clock = MonoClock::start();
         let settings = Arc::new(settings);
         let metrics = Arc::new(ProcessMetrics::new("entry")?);
-        let shelf = FleetShelf::default();
+        let shelf = SharedFleetState::default();
         let (ring, inputs) = DutyRing::new(EVENT_QUEUE_CAPACITY);
         let (watch_requests, watch_receiver) = mpsc::channel(WATCH_QUEUE_CAPACITY);
         let (halt, halted) = watch::channel(false);
@@ -130,7 +130,7 @@
     /// # }
     /// ```
     pub fn stop(&self) {
-        self.handle.ring.put(EntryInput::Event(EntryEvent::StopAsked));
+        self.handle.ring.put(EntryInput::Event(EntryEvent::StopRequested));
     }
 
     /// Stops at once and aborts the requests in flight.
@@ -191,10 +191,10 @@
 }
 
 /// Passes an update of the platform to the state machine.
-fn forward_update(ring: &DutyRing<EntryInput>, update: WatchNews) {
+fn forward_update(ring: &DutyRing<EntryInput>, update: WatchEvent) {
     let event = match update {
-        WatchNews::Bundle(bundle) => EntryEvent::BundleTaken(bundle),
-        WatchNews::Hosts(hosts) => EntryEvent::HostsSeen(hosts),
+        WatchEvent::Bundle(bundle) => EntryEvent::BundleActivated(bundle),
+        WatchEvent::Hosts(hosts) => EntryEvent::HostsRead(hosts),
     };
     ring.put(EntryInput::Event(event));
 }
@@ -225,5 +225,5 @@
         },
     };
     let _ = bound.send(Ok((callers.local_addr(), operator.local_addr())));
-    close_when_halted(callers, halted).await;
+    close_on_stop(callers, halted).await;
 }
--- a/quillcove/src/entry/serve.rs
+++ b/quillcove/src/entry/serve.rs
@@ -10,7 +10,7 @@
 use quillcove_core::entry::event::{HostRecord, RepeatRule, RouteTarget};
 use quillcove_core::ids::{RequestId, ServiceName};
 use quillcove_core::once::ticket::RunTicket;
-use quillcove_core::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
+use quillcove_core::verdict::{RefusalReason, RunVerdict, SHORT_RETRY_DELAY, WorkRefusal};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde_json::json;
@@ -21,10 +21,10 @@
 use super::context::ServeContext;
 use crate::control::AgentControlClient;
 use crate::logging::quiet;
-use crate::web::answer::{WebAnswer, explain, json_answer, refusal};
+use crate::web::answer::{HandlerResult, json_response, refusal, refusal_message};
 use crate::web::body;
 use crate::web::headers;
-use crate::web::server::{self, RestPath, register, register_any_method};
+use crate::web::server::{self, WildcardPath, register, register_any_method};
 
 /// Timeout of a control call about tickets.
 const TICKET_TIMEOUT: Duration = Duration::from_millis(500);
@@ -39,9 +39,9 @@
 }
 
 /// Returns the response to a request that was not admitted.
-fn reject(request: RequestId, error: &AdmitError) -> WebAnswer {
+fn reject(request: RequestId, error: &AdmitError) -> HandlerResult {
     let retry_after = match error.reason {
-        RefusalReason::BundleMissing | RefusalReason::NoUpstream => Some(SOON),
+        RefusalReason::BundleMissing | RefusalReason::NoUpstream => Some(SHORT_RETRY_DELAY),
         _ => None,
     };
     let refused = WorkRefusal::not_run(error.reason, retry_after);
@@ -68,11 +68,14 @@
     }
 }
 
-async fn complete(context: RequestContext<ServeContext>, body: StreamingBody) -> WebAnswer {
+async fn complete(context: RequestContext<ServeContext>, body: StreamingBody) -> HandlerResult {
     answer_completion(context, body, "v1/completions").await
 }
 
-async fn complete_chat(context: RequestContext<ServeContext>, body: StreamingBody) -> WebAnswer {
+async fn complete_chat(
+    context: RequestContext<ServeContext>,
+    body: StreamingBody,
+) -> HandlerResult {
     answer_completion(context, body, "v1/chat/completions").await
 }
 
@@ -80,7 +83,7 @@
     context: RequestContext<ServeContext>,
     body: StreamingBody,
     path: &str,
-) -> WebAnswer {
+) -> HandlerResult {
     let state = context.context();
     let request = new_request();
     match prepare_completion(state, &context, body, path, request).await {
@@ -110,7 +113,7 @@
         options,
         method: Method::POST,
         path: path.to_string(),
-        headers: headers::passed(request_headers),
+        headers: headers::forwarded_headers(request_headers),
         is_stream: completion.is_stream,
         body: completion.body,
         adapter: Some(completion.adapter),
@@ -122,7 +125,7 @@
 #[derive(Debug, Deserialize, JsonSchema)]
 struct ServicePath {
     service: String,
-    /// Declared for the router only; [`server::rest_of`] reads the path undecoded, as it was sent.
+    /// Declared for the router only; [`server::path_after`] reads the path undecoded, as it was sent.
     #[allow(dead_code)]
     path: Vec<String>,
 }
@@ -131,7 +134,7 @@
     context: RequestContext<ServeContext>,
     path: Path<ServicePath>,
     body: StreamingBody,
-) -> WebAnswer {
+) -> HandlerResult {
     let state = context.context();
     let request = new_request();
     match prepare_call(state, &context, path.into_inner(), body, request).await {
@@ -185,8 +188,8 @@
         query: admit::build_query(request, target, &options, None, now),
         options,
         method: context.request.method().clone(),
-        path: server::rest_of(context.request.uri(), skipped_segments).to_string(),
-        headers: headers::passed(context.request.headers()),
+        path: server::path_after(context.request.uri(), skipped_segments).to_string(),
+        headers: headers::forwarded_headers(context.request.headers()),
         body,
         adapter: None,
         is_stream,
@@ -196,9 +199,9 @@
 
 async fn call_route(
     context: RequestContext<ServeContext>,
-    _path: Path<RestPath>,
+    _path: Path<WildcardPath>,
     body: StreamingBody,
-) -> WebAnswer {
+) -> HandlerResult {
     let state = context.context();
     let request = new_request();
     match prepare_route_call(state, &context, body, request).await {
@@ -218,11 +221,11 @@
     let unknown = |message| AdmitError { reason: RefusalReason::Unknown, message };
     let bundle = state.bundle()?;
     let host = headers::text(request_headers, "host").unwrap_or_default();
-    let path = format!("/{}", server::rest_of(context.request.uri(), 1));
+    let path = format!("/{}", server::path_after(context.request.uri(), 1));
     let route = bundle.routes.find(host, &path);
     let route = route.ok_or_else(|| unknown(format!("no route for {host}{path}")))?;
     let options = admit::parse_route_options(request_headers, route, &state.settings.requests)?;
-    let service = route.draw_service(rand::random());
+    let service = route.choose_service(rand::random());
     let no_service = || unknown(format!("route '{}' leads to no service", route.name));
     let service = service.cloned().ok_or_else(no_service)?;
     let is_stream = route.kind.is_stream();
@@ -239,7 +242,7 @@
     }
 }
 
-async fn list_models(context: RequestContext<ServeContext>) -> WebAnswer {
+async fn list_models(context: RequestContext<ServeContext>) -> HandlerResult {
     let state = context.context();
     let request = new_request();
     let bundle = match state.bundle() {
@@ -254,7 +257,7 @@
             json!({ "id": id, "object": "model", "created": 0, "owned_by": entry.model })
         })
         .collect();
-    with_request_id(json_answer(&json!({ "object": "list", "data": models })), request)
+    with_request_id(json_response(&json!({ "object": "list", "data": models })), request)
 }
 
 /// Path of a request for a ticket.
@@ -264,7 +267,10 @@
 }
 
 /// Issues a ticket from one of the service's agents, chosen at random for each request.
-async fn issue_ticket(context: RequestContext<ServeContext>, path: Path<TicketPath>) -> WebAnswer {
+async fn issue_ticket(
+    context: RequestContext<ServeContext>,
+    path: Path<TicketPath>,
+) -> HandlerResult {
     let state = context.context();
     let request = new_request();
     let service = path.into_inner().service;
@@ -280,12 +286,12 @@
         let issue =
             |client: AgentControlClient, context| async move { client.issue_ticket(context).await };
         if let Ok(Ok(ticket)) = state.pool.call(&control, TICKET_TIMEOUT, issue).await {
-            let answer = json_answer(&json!({ "object": "ticket", "ticket": ticket }));
+            let answer = json_response(&json!({ "object": "ticket", "ticket": ticket }));
             return with_request_id(answer, request);
         }
     }
     let reason = RefusalReason::NoUpstream;
-    reject(request, &AdmitError { reason, message: explain(reason).to_string() })
+    reject(request, &AdmitError { reason, message: refusal_message(reason).to_string() })
 }
 
 /// Returns the control addresses of up to [`TICKET_AGENT_LIMIT`] live agents of a service in random
@@ -310,11 +316,11 @@
 async fn read_ticket(
     context: RequestContext<ServeContext>,
     path: Path<TicketStatePath>,
-) -> WebAnswer {
+) -> HandlerResult {
     let state = context.context();
     let request = new_request();
     let text = path.into_inner().ticket;
-    let Some(ticket) = RunTicket::peek(&text) else {
+    let Some(ticket) = RunTicket::decode_unverified(&text) else {
         let message = "the ticket can not be read".to_string();
         return reject(request, &AdmitError { reason: RefusalReason::BadRequest, message });
     };
@@ -326,8 +332,8 @@
         client.ticket_state(context, text).await
     };
     let answer = match state.pool.call(&control, TICKET_TIMEOUT, fetch_state).await {
-        Ok(Ok(found)) => json_answer(&ticket_json(found)),
-        Ok(Err(refused)) => refusal(&refused, explain(refused.reason)),
+        Ok(Ok(found)) => json_response(&ticket_json(found)),
+        Ok(Err(refused)) => refusal(&refused, refusal_message(refused.reason)),
         Err(error) => refusal(&unknown, &error.to_string()),
     };
     with_request_id(answer, request)
--- a/quillcove/src/loader/crashes.rs
+++ b/quillcove/src/loader/crashes.rs
@@ -5,7 +5,7 @@
 
 use quillcove_core::crash::digest::load_identity;
 use quillcove_core::crash::teller::in_messages;
-use quillcove_core::crash::watch::AnswerBreak;
+use quillcove_core::crash::watch::ResponseAbort;
 use quillcove_core::ids::MonoTime;
 use quillcove_core::relay::beacon::{AdapterKey, PeerMessage};
 use quillcove_core::relay::loader::BrokenLoad;
@@ -17,7 +17,7 @@
     /// Records that an adapter was loaded without a replica exit.
     pub(super) fn record_good_load(&mut self, key: &AdapterKey, now: MonoTime) {
         let version = self.machine.report().version_of(key);
-        self.crashes.note_good(load_identity(key, version), now);
+        self.crashes.record_success(load_identity(key, version), now);
     }
 
     /// Records the loads that were in progress when the engine's process exited.
@@ -27,9 +27,9 @@
                 "adapter" => &load.key.adapter, "version" => load.version,
                 "replica" => &load.run.replica);
             let identity = load_identity(&load.key, load.version);
-            let answer_break = AnswerBreak { identity, has_begun: false, sent_at: now };
-            self.crashes.note_broken(&load.run, answer_break, now);
-            self.crashes.confirm_end(&load.run, now);
+            let answer_break = ResponseAbort { identity, has_begun: false, sent_at: now };
+            self.crashes.record_abort(&load.run, answer_break, now);
+            self.crashes.confirm_exit(&load.run, now);
         }
     }
 
--- a/quillcove/src/loader/mod.rs
+++ b/quillcove/src/loader/mod.rs
@@ -13,15 +13,15 @@
 
 use dropshot::HttpServer;
 use http::{HeaderMap, Method, StatusCode};
-use quillcove_core::crash::watch::CrashWatch;
+use quillcove_core::crash::watch::CrashTracker;
 use quillcove_core::ids::MonoTime;
 use quillcove_core::relay::beacon::{
-    ArrivedLoad, EngineBeacon, EngineGauges, EngineReport, GaugeBeacon, PeerMessage,
+    ArrivedLoad, EngineGauges, EngineHeartbeat, EngineReport, GaugeHeartbeat, PeerMessage,
 };
 use quillcove_core::relay::loader::LoaderMachine;
 use quillcove_core::relay::order::{LoadOrder, OrderKind, OrderOutcome};
 use quillcove_core::relay::report_stream::ReportSender;
-use quillcove_core::relay::roll::RelayRoll;
+use quillcove_core::relay::roll::RelayMembership;
 use quillcove_core::standing::notice::UpstreamNotice;
 use quillcove_platform::{engine, heads};
 use serde::Serialize;
@@ -34,7 +34,7 @@
 use crate::duty;
 use crate::metrics::ProcessMetrics;
 use crate::operator::{self, OperatorContext, ProcessInspector};
-use crate::peers::{PeerArrival, PeerSocket};
+use crate::peers::{PeerSocket, ReceivedDatagram};
 use crate::web::client::{WebClient, WebError};
 
 /// Longest time between two heartbeats to the relays.
@@ -128,9 +128,9 @@
     machine: LoaderMachine,
     metrics: Arc<ProcessMetrics>,
     view: Arc<Mutex<LoaderView>>,
-    relays: RelayRoll,
+    relays: RelayMembership,
     /// Crash records of requests and loads, received from relays or recorded here.
-    crashes: CrashWatch,
+    crashes: CrashTracker,
     incarnation: u64,
     /// Number of heartbeats sent, from which each takes its sequence number.
     heartbeats: u64,
@@ -164,8 +164,8 @@
             socket,
             metrics,
             view,
-            relays: RelayRoll::new(incarnation),
-            crashes: CrashWatch::default(),
+            relays: RelayMembership::new(incarnation),
+            crashes: CrashTracker::default(),
             incarnation,
             heartbeats: 0,
             sender: ReportSender::default(),
@@ -218,11 +218,11 @@
         }
     }
 
-    fn handle_datagram(&mut self, arrival: PeerArrival) {
+    fn handle_datagram(&mut self, arrival: ReceivedDatagram) {
         let now = self.clock.now();
         let (message, from) = match arrival {
-            PeerArrival::Message(message, from) => (*message, from),
-            PeerArrival::Garbage(from, error) => {
+            ReceivedDatagram::Message(message, from) => (*message, from),
+            ReceivedDatagram::Undecodable(from, error) => {
                 warn!(self.log, "cannot decode datagram"; "from" => %from, "error" => %error);
                 return;
             },
@@ -230,19 +230,19 @@
         match message {
             PeerMessage::Use(heartbeat) => {
                 let relay = heartbeat.relay;
-                self.machine.take_uses(heartbeat, now);
+                self.machine.record_uses(heartbeat, now);
                 self.report_regained_room(now);
                 self.record_relay(relay, now);
             },
             PeerMessage::Resend(ask) => self.send_full_report(ask.relay, now),
             // Stored so that a relay that restarts can ask for them.
-            PeerMessage::Crash(records) => drop(self.crashes.take(&records, now)),
+            PeerMessage::Crash(records) => drop(self.crashes.apply_report(&records, now)),
             PeerMessage::CrashAsk(ask) => self.send_all_crashes(ask.relay, now),
             PeerMessage::Load(ask) => {
                 info!(self.log, "load asked for"; "relay" => %from, "replica" => &ask.replica,
                     "model" => &ask.model, "adapter" => ask.adapter.as_deref().unwrap_or("-"),
                     "version" => ask.version);
-                self.machine.take_ask(ask, now);
+                self.machine.queue_load_request(ask, now);
                 // The relay waits for the adapter, which may be loaded already. A new relay gets a
                 // full report, which then lists it.
                 self.record_relay(from, now);
@@ -262,7 +262,7 @@
 
     /// Records that a relay is alive, and sends it a full report if it is new.
     fn record_relay(&mut self, relay: SocketAddr, now: MonoTime) {
-        if self.relays.hear(relay, now) {
+        if self.relays.record_heartbeat(relay, now) {
             info!(self.log, "relay heard"; "relay" => %relay);
             self.send_full_report(relay, now);
         }
@@ -284,7 +284,7 @@
         if report.is_leaving && !self.machine.report().is_leaving {
             info!(self.log, "engine says that it leaves"; "born" => report.born);
         }
-        let change = self.machine.take_report(report, now);
+        let change = self.machine.record_report(report, now);
         self.record_broken_loads(&change.broken, now);
         for (held, load) in change.arrived {
             info!(self.log, "adapter held"; "model" => &held.model, "adapter" => &held.adapter,
@@ -308,7 +308,7 @@
     }
 
     async fn fetch_report(&self) -> Option<EngineReport> {
-        let call = engine::report_call();
+        let call = engine::report_request();
         let uri = format!("http://{}{}", self.settings.engine.address, call.path);
         let answer = self.client.fetch(Method::GET, &uri, call.body, REPORT_TIMEOUT).await.ok()?;
         if !answer.status().is_success() {
@@ -326,7 +326,7 @@
 
     /// Reads the status headers that the engine sends about itself with a response.
     fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamNotice {
-        let (notice, fault) = heads::read_notice(status, headers, SystemTime::now());
+        let (notice, fault) = heads::read_upstream_notice(status, headers, SystemTime::now());
         if let Some(fault) = fault {
             warn!(self.log, "word of the engine not understood"; "fault" => %fault);
         }
@@ -355,8 +355,8 @@
     }
 
     /// Builds a heartbeat with the full report.
-    fn engine_heartbeat(&mut self, arrivals: Vec<ArrivedLoad>, now: MonoTime) -> EngineBeacon {
-        EngineBeacon {
+    fn engine_heartbeat(&mut self, arrivals: Vec<ArrivedLoad>, now: MonoTime) -> EngineHeartbeat {
+        EngineHeartbeat {
             host: self.settings.process.host.clone(),
             engine: self.settings.engine.address,
             number: self.next_number(),
@@ -367,17 +367,17 @@
             model_loads: self.machine.model_loads(now),
             spare_places: self.machine.spare_places(now),
             arrivals,
-            relays: self.relays.name_some(),
+            relays: self.relays.next_named(),
         }
     }
 
     /// Builds a heartbeat with the gauges alone, for relays that hold the rest of the report.
-    fn gauge_heartbeat(&mut self, now: MonoTime) -> GaugeBeacon {
+    fn gauge_heartbeat(&mut self, now: MonoTime) -> GaugeHeartbeat {
         let report = self.machine.report();
         let (running, waiting, is_busy) = (report.running, report.waiting, report.is_busy);
         let spare_places = self.machine.spare_places(now);
         let uses = self.machine.fleet_uses(now);
-        GaugeBeacon {
+        GaugeHeartbeat {
             engine: self.settings.engine.address,
             number: self.next_number(),
             incarnation: self.incarnation,
@@ -399,7 +399,7 @@
     fn send_heartbeat(&mut self, now: MonoTime) {
         self.last_heartbeat = now;
         let arrivals = std::mem::take(&mut self.arrivals);
-        let is_full = self.sender.takes_whole(self.machine.report(), now);
+        let is_full = self.sender.decide_full(self.machine.report(), now);
         self.was_reported_full = self.machine.spare_places(now) == Some(0);
         let message = match is_full || !arrivals.is_empty() {
             true => PeerMessage::Engine(Box::new(self.engine_heartbeat(arrivals, now))),
@@ -427,20 +427,20 @@
             Err(WebError::Lost(_) | WebError::Status(_)) => OrderOutcome::Unanswered,
         };
         let is_load = order.kind == OrderKind::Load;
-        self.metrics.ordered(is_load, outcome_label(outcome));
+        self.metrics.record_order(is_load, outcome_label(outcome));
         let basis = &order.basis;
         info!(self.log, "order given"; "kind" => ?order.kind, "replica" => &order.replica,
             "model" => &order.model, "adapter" => order.adapter.as_deref().unwrap_or("-"),
             "version" => order.version, "fence" => order.fence, "outcome" => ?outcome,
             "held" => basis.held, "coming" => basis.coming, "places" => basis.places,
             "report_age_ms" => basis.report_age.as_millis() as u64);
-        self.machine.end_order(outcome, self.clock.now());
+        self.machine.complete_order(outcome, self.clock.now());
         outcome
     }
 
     async fn send_order(&mut self, order: &LoadOrder) -> Result<OrderOutcome, WebError> {
         let call =
-            engine::order_call(order).map_err(|fault| WebError::NotSent(fault.to_string()))?;
+            engine::order_request(order).map_err(|fault| WebError::NotSent(fault.to_string()))?;
         let uri = format!("http://{}{}", self.settings.engine.address, call.path);
         let mut request = http::Request::builder().method(Method::POST).uri(uri);
         for (name, value) in call.headers {
@@ -455,8 +455,8 @@
             .map_err(|_| WebError::Lost("engine did not answer the order in time".to_string()))??;
         let notice = self.read_notice(answer.status(), answer.headers());
         if !notice.is_blank() {
-            self.metrics.replica_said(&notice);
-            self.machine.note_said(&notice, self.clock.now());
+            self.metrics.record_notice(&notice);
+            self.machine.record_notice(&notice, self.clock.now());
         }
         Ok(engine::order_outcome(answer.status()))
     }
--- a/quillcove/src/metrics.rs
+++ b/quillcove/src/metrics.rs
@@ -9,7 +9,7 @@
 use prometheus::{Registry, TextEncoder};
 use quillcove_core::class::WorkClass;
 use quillcove_core::relay::beacon::PeerMessageKind;
-use quillcove_core::relay::promise::PromiseFate;
+use quillcove_core::relay::promise::EstimateOutcome;
 use quillcove_core::relay::store_duty::ReadReason;
 use quillcove_core::standing::notice::UpstreamNotice;
 use quillcove_core::verdict::{RefusalReason, RunVerdict};
@@ -126,10 +126,10 @@
     /// use quillcove_core::verdict::RunVerdict;
     ///
     /// let metrics = quillcove::metrics::ProcessMetrics::new("entry").unwrap();
-    /// metrics.finished(RunVerdict::Ran, WorkClass::Normal, Duration::from_millis(5));
+    /// metrics.record_finish(RunVerdict::Ran, WorkClass::Normal, Duration::from_millis(5));
     /// assert!(metrics.text().contains("quillcove_requests_total"));
     /// ```
-    pub fn finished(&self, verdict: RunVerdict, class: WorkClass, took: Duration) {
+    pub fn record_finish(&self, verdict: RunVerdict, class: WorkClass, took: Duration) {
         let labels = [class_label(class), KeyValue::new("verdict", verdict.label())];
         self.requests.add(1, &labels);
         self.duration.record(took.as_secs_f64(), &labels[..1]);
@@ -142,9 +142,9 @@
     /// use quillcove_core::verdict::RefusalReason;
     ///
     /// let metrics = quillcove::metrics::ProcessMetrics::new("entry").unwrap();
-    /// metrics.refused(RefusalReason::Overloaded, WorkClass::Normal);
+    /// metrics.record_refusal(RefusalReason::Overloaded, WorkClass::Normal);
     /// ```
-    pub fn refused(&self, reason: RefusalReason, class: WorkClass) {
+    pub fn record_refusal(&self, reason: RefusalReason, class: WorkClass) {
         let labels = [class_label(class), KeyValue::new("reason", reason.label())];
         self.refusals.add(1, &labels);
     }
@@ -152,9 +152,9 @@
     /// Counts an attempt.
     ///
     /// ```
-    /// quillcove::metrics::ProcessMetrics::new("entry").unwrap().attempted(true);
+    /// quillcove::metrics::ProcessMetrics::new("entry").unwrap().record_attempt(true);
     /// ```
-    pub fn attempted(&self, is_first: bool) {
+    pub fn record_attempt(&self, is_first: bool) {
         self.attempts.add(1, &[]);
         if !is_first {
             self.retries.add(1, &[]);
@@ -168,9 +168,9 @@
     /// use quillcove_core::class::WorkClass;
     ///
     /// let metrics = quillcove::metrics::ProcessMetrics::new("agent").unwrap();
-    /// metrics.stalled(WorkClass::Urgent, Duration::from_millis(300));
+    /// metrics.record_stall(WorkClass::Urgent, Duration::from_millis(300));
     /// ```
-    pub fn stalled(&self, class: WorkClass, wait: Duration) {
+    pub fn record_stall(&self, class: WorkClass, wait: Duration) {
         self.load_stall.record(wait.as_secs_f64(), &[class_label(class)]);
     }
 
@@ -178,17 +178,17 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::promise::PromiseFate;
+    /// use quillcove_core::relay::promise::EstimateOutcome;
     ///
     /// let metrics = quillcove::metrics::ProcessMetrics::new("relay").unwrap();
-    /// metrics.promise_ended(PromiseFate::Late(Duration::from_millis(40)));
+    /// metrics.promise_ended(EstimateOutcome::Late(Duration::from_millis(40)));
     /// assert!(metrics.text().contains("quillcove_promises_total"));
     /// ```
-    pub fn promise_ended(&self, fate: PromiseFate) {
+    pub fn promise_ended(&self, fate: EstimateOutcome) {
         let (label, error) = match fate {
-            PromiseFate::Early(error) => ("early", Some(error)),
-            PromiseFate::Late(error) => ("late", Some(error)),
-            PromiseFate::Missed => ("missed", None),
+            EstimateOutcome::Early(error) => ("early", Some(error)),
+            EstimateOutcome::Late(error) => ("late", Some(error)),
+            EstimateOutcome::Missed => ("missed", None),
         };
         let labels = [KeyValue::new("fate", label)];
         self.promises.add(1, &labels);
@@ -204,18 +204,18 @@
     /// use quillcove_core::class::WorkClass;
     ///
     /// let metrics = quillcove::metrics::ProcessMetrics::new("entry").unwrap();
-    /// metrics.answered(WorkClass::Urgent, Duration::from_millis(30));
+    /// metrics.record_first_byte(WorkClass::Urgent, Duration::from_millis(30));
     /// ```
-    pub fn answered(&self, class: WorkClass, took: Duration) {
+    pub fn record_first_byte(&self, class: WorkClass, took: Duration) {
         self.first_byte.record(took.as_secs_f64(), &[class_label(class)]);
     }
 
     /// Counts the end of an order to the engine.
     ///
     /// ```
-    /// quillcove::metrics::ProcessMetrics::new("agent").unwrap().ordered(true, "done");
+    /// quillcove::metrics::ProcessMetrics::new("agent").unwrap().record_order(true, "done");
     /// ```
-    pub fn ordered(&self, is_load: bool, outcome: &'static str) {
+    pub fn record_order(&self, is_load: bool, outcome: &'static str) {
         let labels = [KeyValue::new("outcome", outcome)];
         self.orders.add(1, &labels);
         if is_load {
@@ -265,10 +265,10 @@
     /// use quillcove_core::standing::notice::UpstreamNotice;
     ///
     /// let metrics = quillcove::metrics::ProcessMetrics::new("relay").unwrap();
-    /// metrics.replica_said(&UpstreamNotice { is_leaving: true, rest: None, limit: None });
+    /// metrics.record_notice(&UpstreamNotice { is_leaving: true, rest: None, limit: None });
     /// assert!(metrics.text().contains("quillcove_replica_words_total"));
     /// ```
-    pub fn replica_said(&self, notice: &UpstreamNotice) {
+    pub fn record_notice(&self, notice: &UpstreamNotice) {
         let words = [
             ("leaving", notice.is_leaving),
             ("rest", notice.rest.is_some()),
--- a/quillcove/src/operator.rs
+++ b/quillcove/src/operator.rs
@@ -11,7 +11,7 @@
 
 use crate::logging::quiet;
 use crate::metrics::ProcessMetrics;
-use crate::web::answer::{WebAnswer, internal, json_answer};
+use crate::web::answer::{HandlerResult, internal_error, json_response};
 use crate::web::server;
 
 /// Limit for request bodies, in bytes. No handler of this endpoint reads a body.
@@ -35,12 +35,12 @@
 type Context = Arc<OperatorContext>;
 
 #[endpoint { method = GET, path = "/healthz" }]
-async fn check_health(_context: RequestContext<Context>) -> WebAnswer {
+async fn check_health(_context: RequestContext<Context>) -> HandlerResult {
     plain_text(StatusCode::OK, "ok\n".to_string())
 }
 
 #[endpoint { method = GET, path = "/readyz" }]
-async fn check_ready(context: RequestContext<Context>) -> WebAnswer {
+async fn check_ready(context: RequestContext<Context>) -> HandlerResult {
     match context.context().inspector.is_ready() {
         true => plain_text(StatusCode::OK, "ready\n".to_string()),
         false => plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_string()),
@@ -48,19 +48,19 @@
 }
 
 #[endpoint { method = GET, path = "/metrics" }]
-async fn read_metrics(context: RequestContext<Context>) -> WebAnswer {
+async fn read_metrics(context: RequestContext<Context>) -> HandlerResult {
     plain_text(StatusCode::OK, context.context().metrics.text())
 }
 
 #[endpoint { method = GET, path = "/state" }]
-async fn read_state(context: RequestContext<Context>) -> WebAnswer {
-    json_answer(&context.context().inspector.state().await)
+async fn read_state(context: RequestContext<Context>) -> HandlerResult {
+    json_response(&context.context().inspector.state().await)
 }
 
-fn plain_text(status: StatusCode, text: String) -> WebAnswer {
+fn plain_text(status: StatusCode, text: String) -> HandlerResult {
     let response = Response::builder().status(status);
     let response = response.header(http::header::CONTENT_TYPE, "text/plain; version=0.0.4");
-    response.body(Body::from(text)).map_err(internal)
+    response.body(Body::from(text)).map_err(internal_error)
 }
 
 /// Starts the HTTP server of the operator endpoint.
--- a/quillcove/src/peers.rs
+++ b/quillcove/src/peers.rs
@@ -30,11 +30,11 @@
 
 /// A datagram received at the socket.
 #[derive(Debug)]
-pub enum PeerArrival {
+pub enum ReceivedDatagram {
     /// A message and its sender.
     Message(Box<PeerMessage>, SocketAddr),
     /// A datagram that could not be decoded, with its sender.
-    Garbage(SocketAddr, postcard::Error),
+    Undecodable(SocketAddr, postcard::Error),
 }
 
 impl PeerSocket {
@@ -80,12 +80,12 @@
     ///
     /// ```
     /// use quillcove::peers::PeerSocket;
-    /// use quillcove_core::relay::beacon::{PeerMessage, UseBeacon};
+    /// use quillcove_core::relay::beacon::{PeerMessage, UseHeartbeat};
     ///
     /// quillcove::duty::run_async(1, async {
     ///     let socket = PeerSocket::bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
     ///     let own = socket.local_addr().unwrap();
-    ///     let beacon = UseBeacon { relay: own, uses: Vec::new() };
+    ///     let beacon = UseHeartbeat { relay: own, uses: Vec::new() };
     ///     assert_eq!(socket.send(&PeerMessage::Use(beacon), [own]).datagrams, 1);
     /// });
     /// ```
@@ -109,23 +109,23 @@
     /// Fails if the socket reports an error.
     ///
     /// ```
-    /// use quillcove::peers::{PeerArrival, PeerSocket};
-    /// use quillcove_core::relay::beacon::{PeerMessage, UseBeacon};
+    /// use quillcove::peers::{ReceivedDatagram, PeerSocket};
+    /// use quillcove_core::relay::beacon::{PeerMessage, UseHeartbeat};
     ///
     /// quillcove::duty::run_async(1, async {
     ///     let socket = PeerSocket::bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
     ///     let own = socket.local_addr().unwrap();
-    ///     let beacon = UseBeacon { relay: own, uses: Vec::new() };
+    ///     let beacon = UseHeartbeat { relay: own, uses: Vec::new() };
     ///     socket.send(&PeerMessage::Use(beacon), [own]);
-    ///     assert!(matches!(socket.receive().await, Ok(PeerArrival::Message(..))));
+    ///     assert!(matches!(socket.receive().await, Ok(ReceivedDatagram::Message(..))));
     /// });
     /// ```
-    pub async fn receive(&self) -> std::io::Result<PeerArrival> {
+    pub async fn receive(&self) -> std::io::Result<ReceivedDatagram> {
         let mut buffer = [0u8; RECEIVE_BUFFER_BYTES];
         let (length, from) = self.socket.recv_from(&mut buffer).await?;
         Ok(match postcard::from_bytes(&buffer[..length]) {
-            Ok(message) => PeerArrival::Message(Box::new(message), from),
-            Err(error) => PeerArrival::Garbage(from, error),
+            Ok(message) => ReceivedDatagram::Message(Box::new(message), from),
+            Err(error) => ReceivedDatagram::Undecodable(from, error),
         })
     }
 }
--- a/quillcove/src/process.rs
+++ b/quillcove/src/process.rs
@@ -103,10 +103,10 @@
 ///
 /// ```no_run
 /// # async fn run(server: dropshot::HttpServer<()>, halted: tokio::sync::watch::Receiver<bool>) {
-/// quillcove::process::close_when_halted(server, halted).await;
+/// quillcove::process::close_on_stop(server, halted).await;
 /// # }
 /// ```
-pub async fn close_when_halted<C: ServerContext>(
+pub async fn close_on_stop<C: ServerContext>(
     server: HttpServer<C>,
     mut halted: watch::Receiver<bool>,
 ) {
@@ -120,9 +120,9 @@
 /// use std::sync::atomic::AtomicBool;
 ///
 /// let log = quillcove::logging::silent();
-/// quillcove::process::note_ready(&AtomicBool::new(false), true, &log);
+/// quillcove::process::update_readiness(&AtomicBool::new(false), true, &log);
 /// ```
-pub fn note_ready(flag: &AtomicBool, is_ready: bool, log: &Logger) {
+pub fn update_readiness(flag: &AtomicBool, is_ready: bool, log: &Logger) {
     if flag.swap(is_ready, Ordering::Relaxed) != is_ready {
         info!(log, "readiness changed"; "ready" => is_ready);
     }
--- a/quillcove/src/relay/attempt.rs
+++ b/quillcove/src/relay/attempt.rs
@@ -9,11 +9,11 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use quillcove_core::relay::machine::AttemptOrder;
-use quillcove_core::relay::replica::AttemptFate;
+use quillcove_core::relay::replica::AttemptOutcome;
 use quillcove_core::route::RouteKind;
-use quillcove_core::standing::StandingChange;
+use quillcove_core::standing::UpstreamStatusChange;
 use quillcove_core::standing::limit::RateLimit;
-use quillcove_platform::heads::{self, AnswerMeaning, AttemptTerms};
+use quillcove_platform::heads::{self, AttemptHeaders, ResponseClass};
 use slog::{info, warn};
 use tokio::time::timeout;
 
@@ -89,11 +89,11 @@
     }
 
     /// Returns what the failure means for the replica's health.
-    pub fn fate(&self) -> AttemptFate {
+    pub fn fate(&self) -> AttemptOutcome {
         match self {
-            Self::NotSent(_) | Self::Lost(_) | Self::Errored(_) => AttemptFate::Failed,
-            Self::Refused(_) | Self::Misdirected(_) => AttemptFate::Refused,
-            Self::TimeOver | Self::Withheld => AttemptFate::Abandoned,
+            Self::NotSent(_) | Self::Lost(_) | Self::Errored(_) => AttemptOutcome::Failed,
+            Self::Refused(_) | Self::Misdirected(_) => AttemptOutcome::Refused,
+            Self::TimeOver | Self::Withheld => AttemptOutcome::Abandoned,
         }
     }
 }
@@ -121,7 +121,12 @@
         if !self.is_finished {
             let now = self.open.shared.clock.now();
             let key = self.open.query.adapter.as_ref();
-            self.open.shared.machine().end(self.replica, key, AttemptFate::Abandoned, now);
+            self.open.shared.machine().end_attempt(
+                self.replica,
+                key,
+                AttemptOutcome::Abandoned,
+                now,
+            );
         }
     }
 }
@@ -135,12 +140,12 @@
 ) -> AttemptEnd {
     let now = open.shared.clock.now();
     open.sent_at = now;
-    open.shared.machine().begin(&order.replica, open.query.adapter.as_ref(), now);
+    open.shared.machine().begin_attempt(&order.replica, open.query.adapter.as_ref(), now);
     open.begin_prefill(&order.replica, now);
     let (shared, deadline) = (open.shared.clone(), open.query.deadline);
     let mut guard = AttemptGuard { open, replica: &order.replica, is_finished: false };
     let exchange = exchange(guard.open, order, last_event);
-    let finished = shared.wakes.wait_until(&shared.clock, deadline, exchange).await;
+    let finished = shared.resume_notifier.wait_until(&shared.clock, deadline, exchange).await;
     let end = finished.unwrap_or(AttemptEnd::Failed(AttemptFailure::TimeOver));
     guard.is_finished = true;
     drop(guard);
@@ -150,7 +155,7 @@
     if let AttemptEnd::Complete(_) = end {
         let now = open.shared.clock.now();
         let key = open.query.adapter.as_ref();
-        open.shared.machine().end(&order.replica, key, AttemptFate::Answered, now);
+        open.shared.machine().end_attempt(&order.replica, key, AttemptOutcome::Answered, now);
     }
     end
 }
@@ -187,35 +192,35 @@
     if let Some(keep_alive) = keep_alive_timeout(&parts.headers) {
         connection.set_keep_alive(keep_alive);
     }
-    open.shared.machine().hear(&order.replica, open.shared.clock.now());
-    let meaning = heads::read_meaning(parts.status, &parts.headers, &open.terms.id);
+    open.shared.machine().record_bytes_received(&order.replica, open.shared.clock.now());
+    let meaning = heads::classify_response(parts.status, &parts.headers, &open.terms.id);
     record_notice(open, order, meaning, parts.status, &parts.headers);
     match meaning {
-        AnswerMeaning::Foreign => {
+        ResponseClass::Foreign => {
             let reason = "response belongs to another request".to_string();
             AttemptEnd::Failed(AttemptFailure::Lost(reason))
         },
-        AnswerMeaning::Unsure => {
+        ResponseClass::Ambiguous => {
             drain_body(open, connection, body).await;
             let reason =
                 format!("status {} without a statement that the request did not run", parts.status);
             AttemptEnd::Failed(AttemptFailure::Lost(reason))
         },
-        AnswerMeaning::NotRun => {
+        ResponseClass::NotRun => {
             drain_body(open, connection, body).await;
             AttemptEnd::Failed(AttemptFailure::Refused(parts.status.as_u16()))
         },
-        AnswerMeaning::Misdirected => {
-            let instance = heads::own_instance(&parts.headers);
+        ResponseClass::Misdirected => {
+            let instance = heads::responding_instance(&parts.headers);
             let is_other = instance.is_some_and(|instance| instance != order.replica);
             drain_body(open, connection, body).await;
             AttemptEnd::Failed(AttemptFailure::Misdirected(is_other))
         },
-        AnswerMeaning::Ran if is_event_stream(open.query.route.kind, parts.status) => {
+        ResponseClass::Ran if is_event_stream(open.query.route.kind, parts.status) => {
             let live = LiveStream { head: parts, body, connection, order: order.clone() };
             AttemptEnd::Stream(Box::new(live))
         },
-        AnswerMeaning::Ran => read_complete(open, connection, parts, body).await,
+        ResponseClass::Ran => read_complete(open, connection, parts, body).await,
     }
 }
 
@@ -224,26 +229,26 @@
 fn record_notice(
     open: &OpenRequest,
     order: &AttemptOrder,
-    meaning: AnswerMeaning,
+    meaning: ResponseClass,
     status: StatusCode,
     headers: &HeaderMap,
 ) {
-    let (notice, fault) = heads::read_notice(status, headers, SystemTime::now());
+    let (notice, fault) = heads::read_upstream_notice(status, headers, SystemTime::now());
     let log = &open.shared.log;
     if let Some(fault) = &fault {
         warn!(log, "word of a replica not understood"; "id" => &open.terms.id,
             "replica" => &order.replica, "fault" => %fault);
     }
-    for name in heads::unread_words(headers) {
+    for name in heads::unknown_status_headers(headers) {
         open.shared.metrics.replica_word("unread");
-        if open.shared.unread.is_first(name) {
+        if open.shared.unknown_status_headers.is_first(name) {
             warn!(log, "word of a replica that nothing reads"; "id" => &open.terms.id,
                 "replica" => &order.replica, "name" => name);
         }
     }
     // Only a successful response shows that a limit was withdrawn: any other may lack the header
     // although the limit still applies.
-    let is_success = meaning == AnswerMeaning::Ran && status.is_success();
+    let is_success = meaning == ResponseClass::Ran && status.is_success();
     if is_success && notice.limit.is_none() && fault.is_none() {
         record_no_limit(open, order);
     }
@@ -252,23 +257,23 @@
     }
     let now = open.shared.clock.now();
     let mut machine = open.shared.machine();
-    let change = machine.note_said(order, &notice, now);
-    let has_asks = machine.has_asks();
+    let change = machine.record_notice(order, &notice, now);
+    let has_asks = machine.has_pending_messages();
     drop(machine);
-    open.shared.metrics.replica_said(&notice);
+    open.shared.metrics.record_notice(&notice);
     if has_asks {
-        open.shared.wanted.notify_one();
+        open.shared.messages_pending.notify_one();
     }
     // A replica repeats its notice in each response, so only a change is logged.
     let Some(change) = change else {
         return;
     };
     let rest = match change {
-        StandingChange::Leaves | StandingChange::Limits(_) => None,
-        StandingChange::Rests(until) => Some(until.saturating_sub(now)),
+        UpstreamStatusChange::Leaves | UpstreamStatusChange::Limits(_) => None,
+        UpstreamStatusChange::Rests(until) => Some(until.saturating_sub(now)),
     };
     info!(log, "replica said of itself"; "id" => &open.terms.id, "replica" => &order.replica,
-        "born" => order.born, "status" => status.as_u16(), "is_leaving" => notice.is_leaving,
+        "born" => order.start_time, "status" => status.as_u16(), "is_leaving" => notice.is_leaving,
         "asked_rest_ms" => notice.rest.map(|rest| rest.as_millis() as u64),
         "rest_ms" => rest.map(|rest| rest.as_millis() as u64),
         "limit" => notice.limit.map(RateLimit::rate));
@@ -277,9 +282,9 @@
 /// Records that a successful response of a replica announces no rate limit.
 fn record_no_limit(open: &OpenRequest, order: &AttemptOrder) {
     let now = open.shared.clock.now();
-    if open.shared.machine().note_no_limit(order, now) {
+    if open.shared.machine().record_no_limit(order, now) {
         info!(open.shared.log, "replica names no limit any more"; "id" => &open.terms.id,
-            "replica" => &order.replica, "born" => order.born);
+            "replica" => &order.replica, "born" => order.start_time);
     }
 }
 
@@ -339,9 +344,9 @@
     last_event: Option<&str>,
 ) -> Result<Request<Full<Bytes>>, AttemptFailure> {
     let time_left = open.time_left(open.shared.clock.now());
-    let terms = AttemptTerms {
+    let terms = AttemptHeaders {
         replica: &order.replica,
-        left: Some(time_left),
+        time_left: Some(time_left),
         priority: open.rank,
         last_event,
         workspace: open.workspace(),
@@ -383,7 +388,7 @@
     if status.is_success() && is_framed(&head.headers) {
         open.record_success();
     }
-    head.headers = heads::end_to_end(&head.headers);
+    head.headers = heads::end_to_end_headers(&head.headers);
     let response = Response::from_parts(head, body);
     match status.is_server_error() && open.query.route.kind == RouteKind::Safe {
         true => AttemptEnd::Failed(AttemptFailure::Errored(Box::new(response))),
--- a/quillcove/src/relay/ends.rs
+++ b/quillcove/src/relay/ends.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quillcove_core::crash::watch::AnswerBreak;
+use quillcove_core::crash::watch::ResponseAbort;
 use quillcove_core::ids::MonoTime;
 use quillcove_core::relay::machine::{AttemptOrder, BreakStep};
 use slog::info;
@@ -65,7 +65,7 @@
 }
 
 /// Records that a replica's response broke off, and starts to detect whether the replica has exited.
-pub fn note_broken(open: &OpenRequest, order: &AttemptOrder) {
+pub fn handle_broken_response(open: &OpenRequest, order: &AttemptOrder) {
     let Some(identity) = open.query.identity else {
         return;
     };
@@ -74,27 +74,29 @@
     info!(open.shared.log, "answer broke off"; "id" => &open.terms.id,
         "request" => %identity.digest, "caller" => format!("{:016x}", identity.caller),
         "replica" => &order.replica, "has_begun" => has_begun);
-    let answer_break = AnswerBreak { identity, has_begun, sent_at: open.sent_at };
-    let step = open.shared.machine().note_broken(order, answer_break, now);
+    let answer_break = ResponseAbort { identity, has_begun, sent_at: open.sent_at };
+    let step = open.shared.machine().record_abort(order, answer_break, now);
     match step {
-        BreakStep::Ask => drop(tokio::spawn(detect_exit(open.shared.clone(), order.clone(), now))),
+        BreakStep::Check => {
+            drop(tokio::spawn(detect_exit(open.shared.clone(), order.clone(), now)))
+        },
         // If the exit is known already, this request is a new crash record that has to be sent.
-        BreakStep::Rest => open.shared.wanted.notify_one(),
+        BreakStep::Rest => open.shared.messages_pending.notify_one(),
     }
 }
 
 /// Detects whether a replica has exited, and reports the result to the machine.
 async fn detect_exit(shared: Arc<RelayShared>, order: AttemptOrder, broke_at: MonoTime) {
     sleep(PROBE_DELAY).await;
-    if shared.machine().is_heard_since(&order.replica, broke_at + READ_GRACE_PERIOD) {
-        shared.machine().deny_end(&order);
+    if shared.machine().has_received_since(&order.replica, broke_at + READ_GRACE_PERIOD) {
+        shared.machine().rule_out_exit(&order);
         return;
     }
     let port = probe_port(order.address).await;
     let requests = match port {
-        PortState::Closed => shared.machine().confirm_end(&order, shared.clock.now()),
+        PortState::Closed => shared.machine().confirm_exit(&order, shared.clock.now()),
         PortState::Open | PortState::Silent => {
-            shared.machine().deny_end(&order);
+            shared.machine().rule_out_exit(&order);
             0
         },
     };
@@ -102,12 +104,12 @@
         "requests_there" => requests);
     if port == PortState::Closed {
         shared.metrics.replica_ended();
-        shared.wanted.notify_one();
+        shared.messages_pending.notify_one();
     }
 }
 
 /// Logs the crash records for which a fatal request is rejected.
-pub fn log_cause(open: &OpenRequest) {
+pub fn log_crash_records(open: &OpenRequest) {
     let Some(identity) = open.query.identity else {
         return;
     };
--- a/quillcove/src/relay/events.rs
+++ b/quillcove/src/relay/events.rs
@@ -23,7 +23,7 @@
     /// # Errors
     ///
     /// When an incomplete event exceeds [`MAX_EVENT_BYTES`].
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, EventTooLong> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, EventTooLong> {
         self.buffered.extend_from_slice(bytes);
         let end = self.complete_len();
         if let Some(end) = end {
@@ -52,12 +52,12 @@
     }
 
     /// Returns whether an incomplete event is buffered.
-    pub fn holds_part(&self) -> bool {
+    pub fn has_incomplete_event(&self) -> bool {
         !self.buffered.is_empty()
     }
 
     /// Discards the incomplete event.
-    pub fn clear(&mut self) {
+    pub fn discard_incomplete(&mut self) {
         self.buffered.clear();
         self.searched = 0;
     }
--- a/quillcove/src/relay/follow.rs
+++ b/quillcove/src/relay/follow.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 use http::{Method, StatusCode};
-use quillcove_core::access::right::RightRules;
+use quillcove_core::access::right::KeyValidityRules;
 use quillcove_core::ids::{MonoTime, StoreEra};
-use quillcove_core::relay::follower::{AnswerEra, FollowRules, PartFollower, StoreCall};
+use quillcove_core::relay::follower::{AnswerEra, PartWatcher, StoreCall, WatchRules};
 use quillcove_core::relay::position::{ReadPositions, StorePosition};
 use quillcove_core::relay::published::{RevisedEvent, StorePart, apply_changes};
 use quillcove_core::relay::replica::ReplicaRecord;
-use quillcove_core::relay::store_duty::{DutyRules, StoreDuty};
-use quillcove_platform::store::{self, RangeAge, StoreAnswer, StoreEvent};
-use quillcove_platform::{WireCall, WireFault};
+use quillcove_core::relay::store_duty::{DutyRules, StoreRole};
+use quillcove_platform::store::{self, ReadConsistency, StoreAnswer, StoreEvent};
+use quillcove_platform::{WireError, WireRequest};
 use slog::{Logger, info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
@@ -61,9 +61,9 @@
 
 /// Instructions of the input task to the store follower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FollowOrder {
+pub struct FollowInstructions {
     /// Whether this relay watches the store.
-    pub duty: StoreDuty,
+    pub duty: StoreRole,
     /// Maximum durations of watches.
     pub watch_times: WatchTimes,
     /// Number of single reads of the operator's part requested so far while this relay does not watch the store.
@@ -93,7 +93,7 @@
     }
 }
 
-impl FollowOrder {
+impl FollowInstructions {
     fn requested_reads(&self, part: StorePart) -> u64 {
         match part {
             StorePart::Operator => self.operator_reads,
@@ -116,8 +116,8 @@
             StorePart::Replicas => self.watch_times.replicas,
         };
         match self.duty {
-            StoreDuty::Watches => longest.unwrap_or(Duration::MAX),
-            StoreDuty::IsTold => Duration::ZERO,
+            StoreRole::Watches => longest.unwrap_or(Duration::MAX),
+            StoreRole::IsTold => Duration::ZERO,
         }
     }
 }
@@ -158,7 +158,7 @@
     #[error(transparent)]
     Web(#[from] WebError),
     #[error(transparent)]
-    Wire(#[from] WireFault),
+    Wire(#[from] WireError),
     #[error("store no longer has the requested changes")]
     HistoryGone,
     #[error("store was restored from an older copy and is now in era {0}")]
@@ -175,7 +175,7 @@
     max_proof_watch: Duration,
     updates: mpsc::Sender<StoreUpdate>,
     rereads: watch::Receiver<u64>,
-    instructions: watch::Receiver<FollowOrder>,
+    instructions: watch::Receiver<FollowInstructions>,
     clock: MonoClock,
     log: Logger,
 }
@@ -183,10 +183,10 @@
 impl StoreFollower {
     pub fn new(
         section: &StoreSection,
-        right: &RightRules,
+        right: &KeyValidityRules,
         updates: mpsc::Sender<StoreUpdate>,
         rereads: watch::Receiver<u64>,
-        instructions: watch::Receiver<FollowOrder>,
+        instructions: watch::Receiver<FollowInstructions>,
         clock: MonoClock,
         log: Logger,
     ) -> Self {
@@ -204,14 +204,14 @@
     }
 
     async fn follow(self: Arc<Self>, part: StorePart, is_stopping: Arc<AtomicBool>) {
-        let mut follower = PartFollower::new(self.rules(part));
+        let mut follower = PartWatcher::new(self.rules(part));
         let mut client = self.new_client();
         let mut receiver = self.instructions.clone();
         let mut reads_done = 0;
         let mut is_first = true;
         while !is_stopping.load(Ordering::Relaxed) {
             let instructions = *receiver.borrow_and_update();
-            let has_to_read = instructions.duty == StoreDuty::Watches
+            let has_to_read = instructions.duty == StoreRole::Watches
                 || instructions.requested_reads(part) != reads_done;
             if follower.is_settled() && !has_to_read {
                 // Ends on new instructions, or to check whether the process is stopping.
@@ -219,7 +219,7 @@
                 continue;
             }
             reads_done = instructions.requested_reads(part);
-            follower.know(instructions.known_positions.of(part));
+            follower.advance_to(instructions.known_positions.of(part));
             let began = self.clock.now();
             let call = follower.next_call_within(instructions.max_watch_time(part));
             let limit = follower.limit(call);
@@ -235,7 +235,7 @@
                 },
             };
             match read {
-                Ok(position) => sleep(follower.take_answer(position)).await,
+                Ok(position) => sleep(follower.record_response(position)).await,
                 Err(error @ (FollowError::HistoryGone | FollowError::LaterEra(_))) => {
                     info!(self.log, "part of the store is read anew"; "part" => ?part,
                         "after" => follower.position().map(|after| after.to_string()),
@@ -253,7 +253,7 @@
                     self.send(StoreUpdate::Failed { part, reason: error.to_string() }).await;
                     // Other open connections may be as unresponsive as the one that failed.
                     client = self.new_client();
-                    sleep(follower.take_failure()).await;
+                    sleep(follower.record_failure()).await;
                 },
             }
         }
@@ -263,7 +263,7 @@
         WebClient::new(self.section.timeout, IDLE_TIME)
     }
 
-    fn rules(&self, part: StorePart) -> FollowRules {
+    fn rules(&self, part: StorePart) -> WatchRules {
         // Changes accumulate before the next watch, as each call has a cost.
         let (gather_time, max_watch_time) = match part {
             StorePart::Operator => {
@@ -273,7 +273,7 @@
         };
         let StoreSection { watch_time, timeout, contact_time, .. } = self.section;
         let watch_time = watch_time.min(max_watch_time);
-        FollowRules { watch_time, timeout, contact_time, gather_time }
+        WatchRules { watch_time, timeout, contact_time, gather_time }
     }
 
     /// Reads a part in full.
@@ -284,7 +284,7 @@
         known: StoreEra,
         began: MonoTime,
     ) -> Result<StorePosition, FollowError> {
-        let content = self.read_pages(client, part, known, RangeAge::Fresh).await?;
+        let content = self.read_pages(client, part, known, ReadConsistency::Fresh).await?;
         // The response includes everything published before the call began.
         self.send_full(part, content, began).await
     }
@@ -297,16 +297,16 @@
         part: StorePart,
         known: StoreEra,
     ) -> Result<StorePosition, FollowError> {
-        let mut content = self.read_pages(client, part, known, RangeAge::MayBeOld).await?;
+        let mut content = self.read_pages(client, part, known, ReadConsistency::MaybeStale).await?;
         let began = self.clock.now();
         let limit = self.section.timeout;
         let call =
             ChangesCall { part, after: content.position, wait: Duration::ZERO, limit, began };
         let since = self.fetch_changes(client, &call).await?;
         content.position = since.position();
-        let changes = since.events.into_iter().zip(since.changed_at).collect();
+        let changes = since.events.into_iter().zip(since.event_revisions).collect();
         apply_changes(&mut content.events, changes);
-        content.is_sheet_lost |= since.is_sheet_lost;
+        content.is_sheet_lost |= since.is_configuration_invalid;
         self.send_full(part, content, began).await
     }
 
@@ -342,16 +342,16 @@
         client: &WebClient,
         part: StorePart,
         known: StoreEra,
-        age: RangeAge,
+        age: ReadConsistency,
     ) -> Result<PartContent, FollowError> {
         let mut content = PartContent::default();
         let mut after: Option<String> = None;
         loop {
-            let call = store::range_call(part, after.as_deref(), age);
+            let call = store::range_request(part, after.as_deref(), age);
             let StoreResponse { status, era, body } =
                 self.call(client, &call, self.section.timeout).await?;
             if !status.is_success() {
-                return Err(WireFault::Status { what: "range", status }.into());
+                return Err(WireError::Status { what: "range", status }.into());
             }
             let page = store::read_range(era, &body)?;
             self.report_faults(&page);
@@ -366,8 +366,8 @@
                     page.position()
                 },
             };
-            content.is_sheet_lost |= page.is_sheet_lost;
-            content.events.extend(page.events.into_iter().zip(page.changed_at));
+            content.is_sheet_lost |= page.is_configuration_invalid;
+            content.events.extend(page.events.into_iter().zip(page.event_revisions));
             after = page.next_page;
             if after.is_none() {
                 return Ok(content);
@@ -390,7 +390,13 @@
             },
         };
         let position = answer.position();
-        let StoreAnswer { events, changed_at, is_empty, is_sheet_lost, .. } = answer;
+        let StoreAnswer {
+            events,
+            event_revisions: changed_at,
+            is_empty,
+            is_configuration_invalid: is_sheet_lost,
+            ..
+        } = answer;
         // A watch that ends without a change was answered only after its full wait.
         let complete_at = match is_empty && self.clock.now().saturating_sub(began) >= wait {
             true => began + wait,
@@ -415,14 +421,14 @@
         client: &WebClient,
         call: &ChangesCall,
     ) -> Result<StoreAnswer, FollowError> {
-        let watch = store::watch_call(call.part, call.after.revision, call.wait);
+        let watch = store::watch_request(call.part, call.after.revision, call.wait);
         let StoreResponse { status, era, body } = self.call(client, &watch, call.limit).await?;
         if store::is_history_gone(status) {
             check_same_era(era, call.after.era)?;
             return Err(FollowError::HistoryGone);
         }
         if !status.is_success() {
-            return Err(WireFault::Status { what: "watch", status }.into());
+            return Err(WireError::Status { what: "watch", status }.into());
         }
         check_same_era(era, call.after.era)?;
         let answer = store::read_watch(era, &body)?;
@@ -433,7 +439,7 @@
     async fn call(
         &self,
         client: &WebClient,
-        call: &WireCall,
+        call: &WireRequest,
         limit: Duration,
     ) -> Result<StoreResponse, FollowError> {
         let uri = format!("http://{}{}", self.address, call.path);
--- a/quillcove/src/relay/forward.rs
+++ b/quillcove/src/relay/forward.rs
@@ -12,7 +12,7 @@
 use quillcove_core::crash::digest::CallerDigest;
 use quillcove_core::ids::MonoTime;
 use quillcove_core::relay::machine::{AttemptOrder, RelayChoice};
-use quillcove_core::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
+use quillcove_core::verdict::{RefusalReason, RunVerdict, SHORT_RETRY_DELAY, WorkRefusal};
 use quillcove_platform::heads;
 use slog::info;
 
@@ -46,7 +46,7 @@
     let response = match prepare(&shared, request, caller, received).await {
         Ok(open) => run_attempts(open).await,
         Err(Rejection::Refused(refusal)) => {
-            shared.metrics.refused(refusal.reason, WorkClass::Normal);
+            shared.metrics.record_refusal(refusal.reason, WorkClass::Normal);
             info!(shared.log, "request refused"; "id" => log_id(&id),
                 "reason" => refusal.reason.label(),
                 "come_back_ms" => refusal.retry_after.map(|pause| pause.as_millis() as u64));
@@ -76,7 +76,7 @@
         let is_first = open.attempts == 0;
         open.attempts += 1;
         open.tried.push(order.replica.clone());
-        open.shared.metrics.attempted(is_first);
+        open.shared.metrics.record_attempt(is_first);
         let end = attempt::send(&mut open, &order, None).await;
         match end {
             AttemptEnd::Complete(response) => return finish_complete(open, response),
@@ -97,11 +97,11 @@
     let waiter = open.query.adapter.as_ref().map(|key| shared.waiters.join(key));
     let result = loop {
         // Registered before the choice, so that a notification during the choice is not lost.
-        let notified = waiter.as_ref().map(|waiter| waiter.news.notified());
+        let notified = waiter.as_ref().map(|waiter| waiter.notify.notified());
         let now = shared.clock.now();
         match choose(open, now) {
             RelayChoice::Send(order) => {
-                shared.metrics.stalled(open.class(), now.saturating_sub(open.query.received));
+                shared.metrics.record_stall(open.class(), now.saturating_sub(open.query.received));
                 break Ok(order);
             },
             RelayChoice::Refuse(refusal) => break Err(refusal),
@@ -113,7 +113,7 @@
                     }
                 };
                 // A notification and the end of the wait are both reasons to choose again.
-                let _ = shared.wakes.wait_until(&shared.clock, until, notified).await;
+                let _ = shared.resume_notifier.wait_until(&shared.clock, until, notified).await;
             },
         }
     };
@@ -126,18 +126,18 @@
 fn choose(open: &mut OpenRequest, now: MonoTime) -> RelayChoice {
     let mut machine = open.shared.machine();
     let choice = machine.choose(&open.query, &open.tried, now);
-    if machine.has_asks() {
-        open.shared.wanted.notify_one();
+    if machine.has_pending_messages() {
+        open.shared.messages_pending.notify_one();
     }
     drop(machine);
-    open.query.looks += 1;
+    open.query.choice_count += 1;
     choice
 }
 
 /// Rejects a request that gets no further attempt.
 fn reject(open: OpenRequest, refusal: WorkRefusal) -> Response<ResponseBody> {
     if refusal.reason == RefusalReason::EndsUpstreams {
-        ends::log_cause(&open);
+        ends::log_crash_records(&open);
     }
     let verdict = match open.runs {
         0 => refusal.verdict,
@@ -149,7 +149,7 @@
 
 /// Ends a request with a rejection by the relay itself.
 fn finish_rejected(mut open: OpenRequest, refusal: &WorkRefusal) -> Response<ResponseBody> {
-    open.shared.metrics.refused(refusal.reason, open.class());
+    open.shared.metrics.record_refusal(refusal.reason, open.class());
     open.retry_after = refusal.retry_after;
     let response = refusal_response(refusal);
     open.finish(refusal.verdict, response.status().as_u16(), refusal.reason.label());
@@ -162,7 +162,7 @@
     open.finish(RunVerdict::Ran, status, "answered");
     let now = open.shared.clock.now();
     let took = now.saturating_sub(open.query.received);
-    open.shared.metrics.answered(open.class(), took);
+    open.shared.metrics.record_first_byte(open.class(), took);
     response.map(|body| Full::new(body).map_err(|never| match never {}).boxed_unsync())
 }
 
@@ -184,12 +184,12 @@
     let shared = open.shared.clone();
     let now = shared.clock.now();
     let key = open.query.adapter.as_ref();
-    let is_ejected = shared.machine().end(&order.replica, key, failure.fate(), now);
+    let is_ejected = shared.machine().end_attempt(&order.replica, key, failure.fate(), now);
     info!(shared.log, "attempt failed"; "id" => &open.terms.id, "replica" => &order.replica,
         "attempt" => open.attempts, "failure" => failure.label(), "detail" => failure.detail(),
         "ejected" => is_ejected);
     if matches!(failure, AttemptFailure::Lost(_)) {
-        ends::note_broken(open, order);
+        ends::handle_broken_response(open, order);
     }
     let kind = open.query.route.kind;
     let is_retried = match &failure {
@@ -206,7 +206,7 @@
             open.runs += 1;
             kind.is_repeatable()
                 && open.runs < open.query.route.attempt_limit
-                && shared.machine().take_repeat(&open.query.service)
+                && shared.machine().take_retry(&open.query.service)
         },
         AttemptFailure::TimeOver => {
             open.runs += 1;
@@ -223,7 +223,7 @@
 /// have a limit of their own, as the route's limit counts only attempts that may have run.
 fn may_retry_rejected(open: &mut OpenRequest) -> bool {
     open.refusals += 1;
-    open.refusals <= REFUSAL_LIMIT && open.shared.machine().take_repeat(&open.query.service)
+    open.refusals <= REFUSAL_LIMIT && open.shared.machine().take_retry(&open.query.service)
 }
 
 /// Records a misdirected request. If another replica runs at the address, the expected one is
@@ -232,9 +232,9 @@
     let shared = open.shared.clone();
     let mut machine = shared.machine();
     match (&open.query.adapter, is_other) {
-        (_, true) => machine.forget(&order.replica),
+        (_, true) => machine.remove_replica(&order.replica),
         (Some(key), false) => {
-            machine.lacks(&order.replica, key);
+            machine.record_missing_adapter(&order.replica, key);
             // When it has loaded the adapter again, it may be the only replica with it.
             open.tried.retain(|tried| *tried != order.replica);
         },
@@ -258,7 +258,9 @@
     match failure {
         AttemptFailure::Errored(response) => FailureResponse::Forwarded(*response),
         AttemptFailure::Refused(_) => refusal(RefusalReason::Overloaded, Some(REFUSED_RETRY_AFTER)),
-        AttemptFailure::Misdirected(_) => refusal(RefusalReason::WrongIncarnation, Some(SOON)),
+        AttemptFailure::Misdirected(_) => {
+            refusal(RefusalReason::WrongIncarnation, Some(SHORT_RETRY_DELAY))
+        },
         AttemptFailure::NotSent(_) => {
             refusal(RefusalReason::UpstreamDown, Some(REFUSED_RETRY_AFTER))
         },
--- a/quillcove/src/relay/input/crashes.rs
+++ b/quillcove/src/relay/input/crashes.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use quillcove_core::crash::teller::in_messages;
-use quillcove_core::crash::telling::{CrashAsk, CrashBeacon, EndId};
+use quillcove_core::crash::telling::{CrashAsk, CrashReport, ExitId};
 use quillcove_core::ids::MonoTime;
 use quillcove_core::relay::beacon::PeerMessage;
 use quillcove_core::rendezvous;
 use slog::info;
 
-use super::InputDuty;
+use super::InputTask;
 
 /// Number of loaders that store each crash record. One of them may be lost together with the engine's host.
 const LOADERS_PER_RECORD: usize = 2;
@@ -28,15 +28,15 @@
 /// Shortest time between two requests, so that a relay that discovers hundreds of others at once asks few of them.
 const CRASH_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-impl InputDuty {
+impl InputTask {
     /// Applies the crash records of another process.
     pub(super) fn apply_crash_records(
         &mut self,
-        message: &CrashBeacon,
+        message: &CrashReport,
         from: SocketAddr,
         now: MonoTime,
     ) {
-        let new_records = self.shared.machine().crashes_mut().take(message, now);
+        let new_records = self.shared.machine().crashes_mut().apply_report(message, now);
         if new_records > 0 {
             info!(self.shared.log, "told of ended replicas"; "from" => %from, "news" => new_records);
         }
@@ -73,7 +73,7 @@
     }
 
     /// Returns the loaders that store the crash records of a message.
-    fn loaders_storing(&self, message: &CrashBeacon) -> Vec<SocketAddr> {
+    fn loaders_storing(&self, message: &CrashReport) -> Vec<SocketAddr> {
         let loaders = self.loaders_of_engines();
         let mut storing: Vec<SocketAddr> = Vec::new();
         for report in &message.ends {
@@ -98,7 +98,7 @@
     /// Requests missed crash records from all loaders and from one other relay, a different one each time.
     pub(super) fn request_crash_records(&mut self, now: MonoTime) {
         // A relay that is cut off from the other relays may still reach loaders.
-        if self.crash_requests_left == 0 && !self.shared.machine().hears_few_relays() {
+        if self.crash_requests_left == 0 && !self.shared.machine().is_maybe_partitioned() {
             return;
         }
         let loaders = self.loaders_of_engines();
@@ -115,6 +115,6 @@
 }
 
 /// Returns the rendezvous weight of a loader as a place to store a crash record.
-fn rank(end: EndId, loader: SocketAddr) -> u64 {
+fn rank(end: ExitId, loader: SocketAddr) -> u64 {
     rendezvous::weight(&format!("{end:x}"), &loader.to_string())
 }
--- a/quillcove/src/relay/input/mod.rs
+++ b/quillcove/src/relay/input/mod.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use quillcove_core::ids::{HallName, HostId, Incarnation, MonoTime, ServiceName};
-use quillcove_core::relay::keeper::ModelKeeper;
-use quillcove_core::relay::promise::PromiseFate;
+use quillcove_core::relay::keeper::LoadRateCoordinator;
+use quillcove_core::relay::promise::EstimateOutcome;
 use quillcove_core::relay::published::{PublishedState, StorePart};
 use quillcove_core::relay::report_stream::ReportLedger;
 use quillcove_core::relay::telling::{ListRound, SHORTEST_INTERVAL};
@@ -25,10 +25,10 @@
 use self::crashes::CRASH_REQUESTS;
 use self::readers::UnreadChange;
 use self::right::ProofRequests;
-use super::follow::{FollowOrder, StoreUpdate};
+use super::follow::{FollowInstructions, StoreUpdate};
 use super::shared::RelayShared;
 use crate::config::relay::RelaySettings;
-use crate::peers::{PeerArrival, PeerSocket};
+use crate::peers::{PeerSocket, ReceivedDatagram};
 
 /// Interval of the input task's periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -44,21 +44,21 @@
 const SNAPSHOT_QUEUE_LENGTH: usize = 4;
 
 /// Channels that connect the input task with other threads.
-pub struct InputFeed {
+pub struct InputChannels {
     /// Updates read from the store.
-    pub store: mpsc::Receiver<StoreUpdate>,
+    pub store_updates: mpsc::Receiver<StoreUpdate>,
     /// The current settings.
-    pub settings: watch::Receiver<RelaySettings>,
+    pub settings_changes: watch::Receiver<RelaySettings>,
     /// Incremented to have both parts of the store read again in full.
-    pub hurry: watch::Sender<u64>,
+    pub reread: watch::Sender<u64>,
     /// Instructions to the task that reads the store.
-    pub order: watch::Sender<FollowOrder>,
+    pub follow_instructions: watch::Sender<FollowInstructions>,
 }
 
 /// Events that the input task handles.
 enum InputEvent {
     Store(StoreUpdate),
-    Peer(PeerArrival),
+    Peer(ReceivedDatagram),
     Snapshot(Result<Box<FetchedState>, String>),
     SettingsChanged,
     MessagesPending,
@@ -89,7 +89,7 @@
 }
 
 /// State of the input task.
-pub struct InputDuty {
+pub struct InputTask {
     shared: Arc<RelayShared>,
     socket: PeerSocket,
     /// Address of the socket, which other processes use to reach this relay.
@@ -99,7 +99,7 @@
     settings_changes: watch::Receiver<RelaySettings>,
     /// Incremented to have both parts of the store read again in full.
     reread: watch::Sender<u64>,
-    follow_instructions: watch::Sender<FollowOrder>,
+    follow_instructions: watch::Sender<FollowInstructions>,
     /// Changes that other relays have announced and this one has not read, by part.
     unread_changes: HashMap<StorePart, UnreadChange>,
     /// Time of each read that was requested and has not completed, by part.
@@ -108,7 +108,7 @@
     snapshots: mpsc::Receiver<Result<Box<FetchedState>, String>>,
     snapshot_sender: mpsc::Sender<Result<Box<FetchedState>, String>>,
     last_fetch_at: MonoTime,
-    load_coordinator: ModelKeeper,
+    load_coordinator: LoadRateCoordinator,
     relays: HashMap<HostId, KnownRelay>,
     /// Last report received from each loader.
     loader_reports: ReportLedger,
@@ -138,30 +138,30 @@
     last_heartbeat_at: MonoTime,
 }
 
-impl InputDuty {
+impl InputTask {
     pub fn new(
         shared: Arc<RelayShared>,
         socket: PeerSocket,
         control: SocketAddr,
-        feed: InputFeed,
+        feed: InputChannels,
     ) -> Self {
         let (snapshot_sender, snapshots) = mpsc::channel(SNAPSHOT_QUEUE_LENGTH);
-        let settings = feed.settings.borrow().clone();
+        let settings = feed.settings_changes.borrow().clone();
         Self {
             shared,
             socket,
             control_address: control,
             settings,
-            settings_changes: feed.settings,
-            reread: feed.hurry,
-            follow_instructions: feed.order,
+            settings_changes: feed.settings_changes,
+            reread: feed.reread,
+            follow_instructions: feed.follow_instructions,
             unread_changes: HashMap::new(),
             requested_reads: HashMap::new(),
-            store_updates: feed.store,
+            store_updates: feed.store_updates,
             snapshots,
             snapshot_sender,
             last_fetch_at: MonoTime::ZERO,
-            load_coordinator: ModelKeeper::default(),
+            load_coordinator: LoadRateCoordinator::default(),
             relays: HashMap::new(),
             loader_reports: ReportLedger::default(),
             store_answers: HashMap::new(),
@@ -197,7 +197,7 @@
                         continue;
                     },
                 },
-                () = shared.wanted.notified() => InputEvent::MessagesPending,
+                () = shared.messages_pending.notified() => InputEvent::MessagesPending,
                 () = sleep_until(next_tick) => {
                     next_tick = Instant::now() + TICK_INTERVAL;
                     InputEvent::Ticked
@@ -211,10 +211,10 @@
         let now = self.shared.clock.now();
         match event {
             InputEvent::Store(update) => self.handle_store_update(update, now),
-            InputEvent::Peer(PeerArrival::Message(message, from)) => {
+            InputEvent::Peer(ReceivedDatagram::Message(message, from)) => {
                 self.handle_message(*message, from, now);
             },
-            InputEvent::Peer(PeerArrival::Garbage(from, error)) => {
+            InputEvent::Peer(ReceivedDatagram::Undecodable(from, error)) => {
                 warn!(self.shared.log, "cannot decode datagram"; "from" => %from,
                     "error" => %error);
             },
@@ -233,7 +233,7 @@
         let gap = now.saturating_sub(self.last_tick_at);
         self.last_tick_at = now;
         if gap > SUSPENSION_THRESHOLD && now > SUSPENSION_THRESHOLD {
-            self.shared.wakes.notify_resumed();
+            self.shared.resume_notifier.notify_resumed();
             warn!(self.shared.log, "process was paused"; "gap_ms" => gap.as_millis() as u64);
             self.coordinates_from = now + COORDINATION_DELAY;
             self.start_crash_requests(now);
@@ -263,12 +263,12 @@
     /// Records the error of each load estimate that was given to a rejected request, once the adapter has been loaded or
     /// was not loaded in a useful time.
     fn record_load_estimates(&self) {
-        let resolved = self.shared.machine().take_promises();
+        let resolved = self.shared.machine().take_settled_estimates();
         for estimate in resolved {
             let error_ms = match estimate.fate {
-                PromiseFate::Early(early) => Some(-(early.as_millis() as i64)),
-                PromiseFate::Late(late) => Some(late.as_millis() as i64),
-                PromiseFate::Missed => None,
+                EstimateOutcome::Early(early) => Some(-(early.as_millis() as i64)),
+                EstimateOutcome::Late(late) => Some(late.as_millis() as i64),
+                EstimateOutcome::Missed => None,
             };
             self.shared.metrics.promise_ended(estimate.fate);
             info!(self.shared.log, "load estimate resolved"; "adapter" => estimate.key.adapter,
--- a/quillcove/src/relay/input/peers.rs
+++ b/quillcove/src/relay/input/peers.rs
@@ -4,36 +4,36 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillcove_core::access::spending::{SpendBeacon, SpentTotal, WorkspaceLevel};
+use quillcove_core::access::spending::{SpentTotal, UsageReport, WorkspaceLevel};
 use quillcove_core::ids::{HostId, MonoTime, ServiceName};
 use quillcove_core::relay::beacon::{
-    AddressedAsk, EngineBeacon, GaugeBeacon, OtherRelays, PeerMessage, RelayBeacon, ReplicaId,
-    ResendAsk, UseBeacon,
+    AddressedLoadRequest, EngineHeartbeat, GaugeHeartbeat, OtherRelays, PeerMessage,
+    RelayHeartbeat, ReplicaId, ResendRequest, UseHeartbeat,
 };
-use quillcove_core::relay::change_word::ChangeBeacon;
+use quillcove_core::relay::change_word::StoreChangeMessage;
 use quillcove_core::relay::replica::ReplicaView;
-use quillcove_core::relay::report_stream::GaugeFate;
-use quillcove_core::relay::store_duty::{self, StoreDuty};
+use quillcove_core::relay::report_stream::GaugeOutcome;
+use quillcove_core::relay::store_duty::{self, StoreRole};
 use quillcove_core::relay::telling::{self, RelayDistance};
 use slog::{info, warn};
 
-use super::{InputDuty, KnownRelay};
+use super::{InputTask, KnownRelay};
 
 /// Number of other relays that a heartbeat to a relay names.
 const NAMED_RELAYS: usize = 2;
 
-impl InputDuty {
+impl InputTask {
     pub(super) fn handle_message(&mut self, message: PeerMessage, from: SocketAddr, now: MonoTime) {
         match message {
             PeerMessage::Relay(heartbeat) => self.handle_heartbeat(heartbeat, now),
             PeerMessage::Engine(report) => self.handle_report(*report, now),
             PeerMessage::Gauges(gauges) => self.handle_gauges(&gauges, now),
-            PeerMessage::Spend(usage) => self.shared.machine().take_spent(&usage, now),
+            PeerMessage::Spend(usage) => self.shared.machine().apply_usage_report(&usage, now),
             PeerMessage::ProofAsk(request) => self.answer_proof_request(&request, now),
             PeerMessage::Proof(response) => self.handle_proof(&response),
             PeerMessage::Crash(records) => self.apply_crash_records(&records, from, now),
             PeerMessage::CrashAsk(request) => self.answer_crash_request(request, now),
-            PeerMessage::Limit(limits) => self.shared.machine().take_limits(&limits, now),
+            PeerMessage::Limit(limits) => self.shared.machine().apply_limit_reports(&limits, now),
             PeerMessage::Change(change) => self.handle_change(&change, now),
             PeerMessage::Use(_) | PeerMessage::Load(_) | PeerMessage::Resend(_) => {
                 warn!(self.shared.log, "received a message meant for loaders"; "from" => %from);
@@ -41,7 +41,7 @@
         }
     }
 
-    fn handle_heartbeat(&mut self, heartbeat: RelayBeacon, now: MonoTime) {
+    fn handle_heartbeat(&mut self, heartbeat: RelayHeartbeat, now: MonoTime) {
         if heartbeat.host == self.shared.settings.process.host {
             return;
         }
@@ -90,7 +90,7 @@
         self.relays.values().any(is_near_reader)
     }
 
-    fn handle_report(&mut self, message: EngineBeacon, now: MonoTime) {
+    fn handle_report(&mut self, message: EngineHeartbeat, now: MonoTime) {
         if !self.loader_reports.take_whole(&message) {
             return;
         }
@@ -99,7 +99,7 @@
         // A report of another cell's engine is the response to a load request, even if it contains nothing new.
         let is_response = {
             let machine = self.shared.machine();
-            machine.table().at(message.engine).is_some_and(|view| !view.is_near)
+            machine.table().at(message.engine).is_some_and(|view| !view.is_in_cell)
         };
         if is_changed || is_response {
             self.shared.waiters.notify_loaded(&message.report.adapters);
@@ -110,11 +110,11 @@
         }
     }
 
-    fn handle_gauges(&mut self, message: &GaugeBeacon, now: MonoTime) {
+    fn handle_gauges(&mut self, message: &GaugeHeartbeat, now: MonoTime) {
         match self.loader_reports.take_gauges(message, now) {
-            GaugeFate::Late | GaugeFate::Lacks { asks: false } => {},
-            GaugeFate::Lacks { asks: true } => self.request_full_report(message.engine),
-            GaugeFate::Fits => {
+            GaugeOutcome::Late | GaugeOutcome::Lacks { asks: false } => {},
+            GaugeOutcome::Lacks { asks: true } => self.request_full_report(message.engine),
+            GaugeOutcome::Fits => {
                 let is_taken =
                     self.shared.machine().take_gauges(message.engine, &message.gauges, now);
                 if !is_taken {
@@ -127,7 +127,7 @@
     }
 
     fn request_full_report(&self, engine: SocketAddr) {
-        let request = PeerMessage::Resend(ResendAsk { relay: self.control_address });
+        let request = PeerMessage::Resend(ResendRequest { relay: self.control_address });
         self.send(&request, [self.loader_of(engine)]);
     }
 
@@ -225,17 +225,18 @@
 
     pub(super) fn plan_model_loads(&mut self, now: MonoTime) {
         let is_coordinated = |service: &str| self.coordinated_services.contains(service);
-        let requests = self.load_coordinator.plan(&self.shared.machine(), is_coordinated, now);
+        let requests =
+            self.load_coordinator.plan_requests(&self.shared.machine(), is_coordinated, now);
         self.send_load_requests(requests);
     }
 
     /// Sends the load requests that are pending in the machine.
     pub(super) fn send_pending_loads(&self) {
-        let requests = self.shared.machine().take_asks();
+        let requests = self.shared.machine().take_load_requests();
         self.send_load_requests(requests);
     }
 
-    fn send_load_requests(&self, requests: Vec<AddressedAsk>) {
+    fn send_load_requests(&self, requests: Vec<AddressedLoadRequest>) {
         for addressed in requests {
             let request = &addressed.ask;
             info!(self.shared.log, "load asked for"; "replica" => &request.replica,
@@ -262,18 +263,18 @@
         seeds.filter(|seed| *seed != self.control_address && !heard.contains(seed)).collect()
     }
 
-    fn next_heartbeat(&mut self, interval: Duration, now: MonoTime) -> RelayBeacon {
+    fn next_heartbeat(&mut self, interval: Duration, now: MonoTime) -> RelayHeartbeat {
         let all: Vec<SocketAddr> = self.relays.values().map(|known| known.address).collect();
         let named = self.named_round.take(&all, NAMED_RELAYS);
         let is_up = self.is_store_up();
         let machine = self.shared.machine();
-        RelayBeacon {
+        RelayHeartbeat {
             host: self.shared.settings.process.host.clone(),
             hall: self.shared.settings.process.hall.clone(),
             address: self.control_address,
             sheet: machine.sheet().map_or(0, |sheet| sheet.version),
-            word: machine.knowledge().word(is_up, now),
-            lacking: machine.lacking() as u32,
+            word: machine.knowledge().summary(is_up, now),
+            lacking: machine.missing_adapter_count() as u32,
             interval,
             heard: self.relays.len() as u32,
             relays: named,
@@ -327,8 +328,8 @@
 
     /// Sends changes that this relay has read to the relays of its hall, if it is one of the few direct readers of a
     /// large fleet.
-    pub(super) fn send_change(&self, change: ChangeBeacon) {
-        let is_reader = self.follow_instructions.borrow().duty == StoreDuty::Watches;
+    pub(super) fn send_change(&self, change: StoreChangeMessage) {
+        let is_reader = self.follow_instructions.borrow().duty == StoreRole::Watches;
         if change.changes.is_empty() || !is_reader || !store_duty::is_large(self.relays.len()) {
             return;
         }
@@ -339,8 +340,8 @@
     }
 
     /// Applies changes that another relay of the hall has read.
-    fn handle_change(&mut self, change: &ChangeBeacon, now: MonoTime) {
-        let changes = self.shared.machine().take_told(change, now);
+    fn handle_change(&mut self, change: &StoreChangeMessage, now: MonoTime) {
+        let changes = self.shared.machine().apply_update(change, now);
         if let Some(changes) = changes {
             self.announce_changes(changes, now);
             self.shared.waiters.notify_all();
@@ -369,7 +370,7 @@
 
     /// Sends the rate limits that replicas have announced to this relay.
     fn send_limits(&self, now: MonoTime) {
-        let limits = self.shared.machine().tell_limits(now);
+        let limits = self.shared.machine().take_due_limit_reports(now);
         if let Some(limits) = limits {
             let relays = self.relays.values().map(|known| known.address);
             self.send(&PeerMessage::Limit(limits), relays);
@@ -390,9 +391,9 @@
         spent: Vec<SpentTotal>,
         levels: Vec<WorkspaceLevel>,
         now: MonoTime,
-    ) -> SpendBeacon {
+    ) -> UsageReport {
         let host = self.shared.settings.process.host.clone();
-        SpendBeacon { host, incarnation: self.incarnation, uptime: now, spent, levels }
+        UsageReport { host, incarnation: self.incarnation, uptime: now, spent, levels }
     }
 
     /// Reports at once to the loaders of full engines that one of their adapters is no longer in use.
@@ -409,13 +410,13 @@
 
     fn send_uses(&self, replica: &str, loader: SocketAddr) {
         let uses = self.shared.machine().take_uses(replica);
-        let message = PeerMessage::Use(UseBeacon { relay: self.control_address, uses });
+        let message = PeerMessage::Use(UseHeartbeat { relay: self.control_address, uses });
         self.send(&message, [loader]);
     }
 
     /// Returns the loaders of the engines in this relay's cell, and of other engines that it uses.
     fn loaders_in_use(&self) -> Vec<(ReplicaId, SocketAddr)> {
-        self.loaders_where(|view| view.is_near || view.has_uses())
+        self.loaders_where(|view| view.is_in_cell || view.has_uses())
     }
 
     /// Returns the loaders of all listed engines.
--- a/quillcove/src/relay/input/readers.rs
+++ b/quillcove/src/relay/input/readers.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use quillcove_core::ids::MonoTime;
-use quillcove_core::relay::knowledge::StoreWord;
+use quillcove_core::relay::knowledge::StoreSummary;
 use quillcove_core::relay::position::StorePosition;
 use quillcove_core::relay::published::StorePart;
-use quillcove_core::relay::store_duty::{self, ReadReason, ReaderCandidate, StoreDuty};
+use quillcove_core::relay::store_duty::{self, ReadReason, ReaderCandidate, StoreRole};
 use quillcove_core::relay::telling::RelayDistance;
 use slog::info;
 
-use super::InputDuty;
+use super::InputTask;
 use crate::relay::follow::WatchTimes;
 
 /// Time after which a read that was requested and has not completed is requested again: the longest duration of a call
@@ -33,7 +33,7 @@
     since: MonoTime,
 }
 
-impl InputDuty {
+impl InputTask {
     /// Returns whether the store answered the last call for each part; `true` before the first call.
     pub(super) fn is_store_up(&self) -> bool {
         self.store_answers.values().all(|is_up| *is_up)
@@ -54,7 +54,7 @@
             })
             .collect();
         let rules = self.settings.platform.duty_rules();
-        let duty = store_duty::duty(&rules, own, &others);
+        let duty = store_duty::choose_role(&rules, own, &others);
         // Until all relays are known, a longer first watch would leave followers without a heartbeat of a direct
         // reader.
         let may_be_large = store_duty::is_large(others.len()) || now < DISCOVERY_TIME;
@@ -79,13 +79,13 @@
     /// another hall are not recorded while the own hall has a direct reader, which sends them at about the same time.
     pub(super) fn apply_summary(
         &mut self,
-        summary: &StoreWord,
+        summary: &StoreSummary,
         distance: RelayDistance,
         now: MonoTime,
     ) {
         let is_sent_by_near_reader = distance == RelayDistance::Far && self.has_near_reader();
         for part in StorePart::ALL {
-            let is_known = self.shared.machine().knowledge_mut().take_word(part, summary, now);
+            let is_known = self.shared.machine().knowledge_mut().apply_summary(part, summary, now);
             if !is_known && !is_sent_by_near_reader {
                 let new = UnreadChange { position: StorePosition::default(), since: now };
                 let change = self.unread_changes.entry(part).or_insert(new);
@@ -130,7 +130,7 @@
     pub(super) fn request_read(&mut self, part: StorePart, reason: ReadReason, now: MonoTime) {
         let is_in_progress =
             |requested_at: &MonoTime| now.saturating_sub(*requested_at) < READ_RETRY_INTERVAL;
-        let is_follower = self.follow_instructions.borrow().duty == StoreDuty::IsTold;
+        let is_follower = self.follow_instructions.borrow().duty == StoreRole::IsTold;
         if !is_follower || self.requested_reads.get(&part).is_some_and(is_in_progress) {
             return;
         }
--- a/quillcove/src/relay/input/store.rs
+++ b/quillcove/src/relay/input/store.rs
@@ -6,16 +6,16 @@
 use std::time::Duration;
 
 use quillcove_core::ids::{HallName, MonoTime};
-use quillcove_core::relay::beacon::{RelayBeacon, ReplicaId};
-use quillcove_core::relay::change_word::{ChangeBeacon, ToldChange};
-use quillcove_core::relay::machine::BeliefChange;
+use quillcove_core::relay::beacon::{RelayHeartbeat, ReplicaId};
+use quillcove_core::relay::change_word::{StoreChange, StoreChangeMessage};
+use quillcove_core::relay::machine::StateChange;
 use quillcove_core::relay::position::StorePosition;
 use quillcove_core::relay::published::StorePart;
 use quillcove_platform::store::StoreEvent;
 use slog::{info, warn};
 
-use super::{FetchedState, InputDuty};
-use crate::process::note_ready;
+use super::{FetchedState, InputTask};
+use crate::process::update_readiness;
 use crate::relay::follow::{StoreReading, StoreUpdate, replica_records};
 use crate::relay::share;
 
@@ -25,7 +25,7 @@
 /// Shortest time between two requests to other relays for their store state.
 const FETCH_INTERVAL: Duration = Duration::from_millis(300);
 
-impl InputDuty {
+impl InputTask {
     pub(super) fn handle_store_update(&mut self, update: StoreUpdate, now: MonoTime) {
         let part = match &update {
             StoreUpdate::Read(reading) => reading.part,
@@ -53,7 +53,7 @@
 
     fn update_store_status(&self, now: MonoTime) {
         let is_answering = self.store_answers.get(&StorePart::Replicas).copied().unwrap_or(true);
-        self.shared.machine().note_store(is_answering, now);
+        self.shared.machine().set_store_reachable(is_answering, now);
     }
 
     /// Applies a completed read, and sends heartbeats to near relays at once if it contains a relevant change.
@@ -119,7 +119,7 @@
     fn apply_listing(&mut self, reading: StoreReading, now: MonoTime) -> Option<u64> {
         let last_revision = reading.changed_at.iter().copied().max();
         let changes = self.shared.machine().list_all(replica_records(reading.events), now);
-        let has_removals = changes.iter().any(|change| !matches!(change, BeliefChange::Listed(_)));
+        let has_removals = changes.iter().any(|change| !matches!(change, StateChange::Listed(_)));
         // A replica that is gone has no entry with the revision of its removal.
         let change_revision =
             if has_removals { Some(reading.position.revision) } else { last_revision };
@@ -145,7 +145,7 @@
             let effect = self.shared.machine().take_event(event, reading.is_full, now);
             if effect.matters {
                 last_revision = last_revision.max(Some(revision));
-                let change = effect.told.map(|event| ToldChange { revision, event });
+                let change = effect.update.map(|event| StoreChange { revision, event });
                 sendable =
                     sendable.zip(change).map(|(sendable, change)| appended(sendable, change));
             }
@@ -154,7 +154,7 @@
         if let (Some(after), Some(changes)) = (reading.after, sendable) {
             let age = now.saturating_sub(reading.complete_at);
             let (part, StorePosition { era, revision }) = (reading.part, reading.position);
-            self.send_change(ChangeBeacon { part, era, after, revision, age, changes });
+            self.send_change(StoreChangeMessage { part, era, after, revision, age, changes });
         }
         // All together, so that loaders and relays get one message for all new engines.
         self.announce_changes(all_changes, now);
@@ -163,9 +163,9 @@
 
     /// Logs changes, and sends messages to the loaders of new engines at once, as loaders report only to relays from
     /// which they have received one.
-    pub(super) fn announce_changes(&mut self, changes: Vec<BeliefChange>, now: MonoTime) {
-        let listed_id = |change: &BeliefChange| match change {
-            BeliefChange::Listed(id) => Some(id.clone()),
+    pub(super) fn announce_changes(&mut self, changes: Vec<StateChange>, now: MonoTime) {
+        let listed_id = |change: &StateChange| match change {
+            StateChange::Listed(id) => Some(id.clone()),
             _ => None,
         };
         let new_engines: HashSet<ReplicaId> = changes.iter().filter_map(listed_id).collect();
@@ -177,42 +177,42 @@
         }
     }
 
-    pub(super) fn log_changes(&self, changes: impl IntoIterator<Item = BeliefChange>) {
+    pub(super) fn log_changes(&self, changes: impl IntoIterator<Item = StateChange>) {
         let log = &self.shared.log;
         let read = self.shared.machine().read();
         let position = read.replicas.to_string();
         for change in changes {
             match change {
-                BeliefChange::Sheet(version) => {
+                StateChange::Configuration(version) => {
                     info!(log, "sheet in force"; "sheet" => version, "position" => %read.operator);
                 },
-                BeliefChange::Version(held) => {
+                StateChange::Version(held) => {
                     info!(log, "adapter has a new version"; "model" => &held.key.model,
                         "adapter" => &held.key.adapter, "version" => held.version);
                 },
-                BeliefChange::Listed(id) => self.log_listed(&id),
-                BeliefChange::Gone(id) => {
-                    self.shared.pool.forget(&id);
+                StateChange::Listed(id) => self.log_listed(&id),
+                StateChange::Gone(id) => {
+                    self.shared.pool.close_idle(&id);
                     info!(log, "replica gone"; "replica" => id, "position" => &position);
                 },
-                BeliefChange::Replaced(id) => {
-                    self.shared.pool.forget(&id);
+                StateChange::Replaced(id) => {
+                    self.shared.pool.close_idle(&id);
                     info!(log, "replica replaced"; "replica" => id, "position" => &position);
                 },
-                BeliefChange::Doubted(id) => {
+                StateChange::Unconfirmed(id) => {
                     info!(log, "replica's entry lapsed"; "replica" => id, "position" => &position);
                 },
-                BeliefChange::Returned(id) => {
+                StateChange::Returned(id) => {
                     info!(log, "replica's entry is back"; "replica" => id, "position" => &position);
                 },
-                BeliefChange::Cold(id) => {
+                StateChange::WarmingUp(id) => {
                     info!(log, "replica is cold"; "replica" => id, "position" => &position);
                 },
-                BeliefChange::HallEmptied(hall) => {
+                StateChange::HallEvacuated(hall) => {
                     info!(log, "hall is to be emptied"; "hall" => hall,
                         "position" => %read.operator);
                 },
-                BeliefChange::HallInUse(hall) => {
+                StateChange::HallInUse(hall) => {
                     info!(log, "hall is in use again"; "hall" => hall,
                         "position" => %read.operator);
                 },
@@ -233,12 +233,12 @@
 
     pub(super) fn update_readiness(&self) {
         let is_ready = self.shared.machine().is_ready();
-        note_ready(&self.shared.is_ready, is_ready, &self.shared.log);
+        update_readiness(&self.shared.is_ready, is_ready, &self.shared.log);
     }
 
     /// Fetches the store state of another relay while this one stays behind it. If the store seems to answer this
     /// relay, it also reads the store again, as its watch may hang on a dead connection.
-    pub(super) fn compare_positions(&mut self, heartbeat: &RelayBeacon, now: MonoTime) {
+    pub(super) fn compare_positions(&mut self, heartbeat: &RelayHeartbeat, now: MonoTime) {
         let (own_sheet, own) = {
             let machine = self.shared.machine();
             (machine.sheet().map_or(0, |sheet| sheet.version), machine.read())
@@ -302,7 +302,7 @@
                 let mut machine = self.shared.machine();
                 let changes = machine.take_published(state, now);
                 if let Some(proof) = proof {
-                    machine.knowledge_mut().take_proof(&proof, requested_at);
+                    machine.knowledge_mut().apply_proof(&proof, requested_at);
                 }
                 drop(machine);
                 self.announce_changes(changes, now);
@@ -325,7 +325,7 @@
     events.iter().filter_map(hall).collect()
 }
 
-fn appended(mut changes: Vec<ToldChange>, change: ToldChange) -> Vec<ToldChange> {
+fn appended(mut changes: Vec<StoreChange>, change: StoreChange) -> Vec<StoreChange> {
     changes.push(change);
     changes
 }
--- a/quillcove/src/relay/mod.rs
+++ b/quillcove/src/relay/mod.rs
@@ -32,8 +32,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-use self::follow::{FollowOrder, StoreFollower, WatchTimes};
-use self::input::{InputDuty, InputFeed};
+use self::follow::{FollowInstructions, StoreFollower, WatchTimes};
+use self::input::{InputChannels, InputTask};
 use self::shared::RelayShared;
 use crate::clock::MonoClock;
 use crate::config::relay::RelaySettings;
@@ -113,7 +113,8 @@
     let (sender, inputs) = mpsc::channel(STORE_CHANNEL_CAPACITY);
     let (hurry, hurried) = watch::channel(0);
     let watch_times = WatchTimes::of(&settings.platform.duty_rules());
-    let (order, orders) = watch::channel(FollowOrder { watch_times, ..FollowOrder::default() });
+    let (order, orders) =
+        watch::channel(FollowInstructions { watch_times, ..FollowInstructions::default() });
     let key_validity = settings.rules().right;
     let clock = signals.clock;
     let follower = StoreFollower::new(
@@ -129,7 +130,12 @@
     let _follow = duty::spawn("watch", move || {
         duty::run_async(1, follower.run(follower_stopped));
     });
-    let feed = InputFeed { store: inputs, settings: signals.settings, hurry, order };
+    let feed = InputChannels {
+        store_updates: inputs,
+        settings_changes: signals.settings,
+        reread: hurry,
+        follow_instructions: order,
+    };
     let result = duty::run_async(1, serve(settings, clock, log, signals.stopped, feed, on_bound));
     is_stopped.store(true, Ordering::Relaxed);
     result
@@ -141,7 +147,7 @@
     clock: MonoClock,
     log: Logger,
     stopped: watch::Receiver<bool>,
-    feed: InputFeed,
+    feed: InputChannels,
     on_bound: impl FnOnce(RelayAddresses),
 ) -> eyre::Result<()> {
     let listener = TcpListener::bind(settings.listen.callers).await?;
@@ -164,7 +170,7 @@
         "control" => %addresses.control, "operator" => %addresses.operator,
         "platform" => %platform, "seeds" => ?seeds);
     on_bound(addresses);
-    let input = InputDuty::new(shared.clone(), socket, control, feed);
+    let input = InputTask::new(shared.clone(), socket, control, feed);
     tokio::spawn(input.run());
     serve::serve_callers(listener, shared.clone(), stopped).await;
     info!(log, "relay stopped"; "in_flight" => shared.machine().in_flight());
--- a/quillcove/src/relay/pool.rs
+++ b/quillcove/src/relay/pool.rs
@@ -142,7 +142,7 @@
     }
 
     /// Closes the idle connections to a replica that no longer exists.
-    pub fn forget(&self, replica: &str) {
+    pub fn close_idle(&self, replica: &str) {
         self.idle().remove(replica);
     }
 }
--- a/quillcove/src/relay/request.rs
+++ b/quillcove/src/relay/request.rs
@@ -19,10 +19,10 @@
 use quillcove_core::relay::machine::{RelayMachine, RelayQuery};
 use quillcove_core::relay::prompt::PromptSize;
 use quillcove_core::relay::reading::ReadingNumber;
-use quillcove_core::relay::sheet::RouteSheet;
+use quillcove_core::relay::sheet::PublishedConfig;
 use quillcove_core::route::{RouteKind, RouteRecord};
-use quillcove_core::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
-use quillcove_platform::heads::{self, CallerTerms};
+use quillcove_core::verdict::{RefusalReason, RunVerdict, SHORT_RETRY_DELAY, WorkRefusal};
+use quillcove_platform::heads::{self, RequestHeaders};
 use slog::info;
 use tokio::time::timeout;
 
@@ -32,12 +32,12 @@
 pub struct OpenRequest {
     pub shared: Arc<RelayShared>,
     pub query: RelayQuery,
-    pub terms: CallerTerms,
+    pub terms: RequestHeaders,
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub configuration: Arc<RouteSheet>,
+    pub configuration: Arc<PublishedConfig>,
     pub tried: Vec<ReplicaId>,
     pub attempts: u32,
     /// Attempts that may have run, at least in part.
@@ -93,7 +93,7 @@
         if self.query.model.is_none() {
             return;
         }
-        let start = self.shared.machine().begin_reading(replica, &self.query, now);
+        let start = self.shared.machine().begin_prefill(replica, &self.query, now);
         let pending = |number| PendingPrefill { replica: replica.to_string(), number };
         self.prefill = start.number.map(pending);
         self.rank = Some(start.rank);
@@ -104,7 +104,7 @@
     /// without one (`None`).
     pub fn end_prefill(&mut self, read_at: Option<MonoTime>) {
         if let Some(pending) = self.prefill.take() {
-            self.shared.machine().end_reading(&pending.replica, pending.number, read_at);
+            self.shared.machine().end_prefill(&pending.replica, pending.number, read_at);
         }
     }
 
@@ -117,7 +117,7 @@
     pub fn may_retry_lost(&self) -> bool {
         self.query.route.kind == RouteKind::Safe
             && self.runs + 1 < self.query.route.attempt_limit
-            && self.shared.machine().has_repeat(&self.query.service)
+            && self.shared.machine().has_retry(&self.query.service)
     }
 
     /// Returns the name of the request's workspace, if it has one.
@@ -129,7 +129,7 @@
     pub fn record_success(&self) {
         let now = self.shared.clock.now();
         if let Some(identity) = self.query.identity {
-            self.shared.machine().crashes_mut().note_good(identity, now);
+            self.shared.machine().crashes_mut().record_success(identity, now);
         }
     }
 
@@ -157,18 +157,18 @@
         if end.verdict == RunVerdict::NotRun {
             self.charge.refund(&mut machine);
         }
-        if machine.has_asks() {
-            self.shared.wanted.notify_one();
+        if machine.has_pending_messages() {
+            self.shared.messages_pending.notify_one();
         }
         drop(machine);
         self.charge.commit();
-        self.shared.metrics.finished(end.verdict, self.class(), took);
+        self.shared.metrics.record_finish(end.verdict, self.class(), took);
         info!(self.shared.log, "request"; "id" => &self.terms.id,
             "route" => &self.query.route.name, "sheet" => self.configuration.version,
             "service" => &self.query.service, "workspace" => self.workspace(),
             "adapter" => self.query.adapter.as_ref().map(|key| key.adapter.as_str()),
             "verdict" => end.verdict.label(), "status" => end.status, "reason" => end.reason,
-            "age_ms" => self.query.age.as_millis() as u64, "attempts" => self.attempts, "replicas" => self.tried.join(","),
+            "age_ms" => self.query.since_first_attempt.as_millis() as u64, "attempts" => self.attempts, "replicas" => self.tried.join(","),
             "come_back_ms" => self.retry_after.map(|pause| pause.as_millis() as u64),
             "waited_ms" => self.waited.as_millis() as u64,
             "prompt_tokens" => self.query.prompt_tokens, "rank" => self.rank,
@@ -214,7 +214,7 @@
 impl ChargeGuard {
     fn refund(&mut self, machine: &mut RelayMachine) {
         if let Some(charge) = self.charge.take() {
-            machine.give_back(&charge);
+            machine.refund(&charge);
         }
     }
 
@@ -237,12 +237,12 @@
 fn authorize(
     shared: &Arc<RelayShared>,
     route: &RouteRecord,
-    terms: &CallerTerms,
+    terms: &RequestHeaders,
     now: MonoTime,
 ) -> Result<Option<AccessGrant>, Rejection> {
     let tokens = terms.prompt.as_ref().map(PromptSize::all_tokens);
     let claim = UseClaim { tokens, rank: route.priority };
-    let granted = shared.machine().let_in(route, terms.key, claim, now);
+    let granted = shared.machine().authorize(route, terms.key, claim, now);
     granted.map_err(|refusal| {
         let machine = shared.machine();
         let access = machine.sheet().and_then(|configuration| configuration.access());
@@ -267,14 +267,15 @@
     received: MonoTime,
 ) -> Result<OpenRequest, Rejection> {
     let (parts, body) = request.into_parts();
-    let no_configuration = || WorkRefusal::not_run(RefusalReason::BundleMissing, Some(SOON));
+    let no_configuration =
+        || WorkRefusal::not_run(RefusalReason::BundleMissing, Some(SHORT_RETRY_DELAY));
     let configuration = shared.machine().sheet().cloned().ok_or_else(no_configuration)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or_default();
     let route = configuration.find_route(host, parts.uri.path()).cloned();
     let no_route = || Rejection::denied(StatusCode::NOT_FOUND, "no route");
     let route = route.ok_or_else(no_route)?;
-    let terms = heads::read_terms(&parts.headers)
+    let terms = heads::parse_request_headers(&parts.headers)
         .map_err(|fault| Rejection::denied(StatusCode::BAD_REQUEST, fault))?;
     if let Some(fault) = &terms.fault {
         info!(shared.log, "size of a prompt not understood"; "id" => &terms.id, "fault" => %fault);
@@ -282,8 +283,8 @@
     let grant = authorize(shared, &route, &terms, received)?;
     let charge = grant.as_ref().and_then(|grant| grant.charge.clone());
     let charge = ChargeGuard { shared: shared.clone(), charge };
-    let requested_timeout = terms.patience.unwrap_or(route.timeout);
-    let age = shared.machine().age_of(&route.name, requested_timeout);
+    let requested_timeout = terms.time_limit.unwrap_or(route.timeout);
+    let age = shared.machine().time_since_first_attempt(&route.name, requested_timeout);
     let deadline = received + requested_timeout.min(route.timeout);
     let body = read_body(&configuration, body).await?;
     let digested = RequestParts {
@@ -295,7 +296,7 @@
     };
     let identity = RequestIdentity { digest: digested.digest(), caller };
     let service = shared.machine().draw_service(&route);
-    let no_service = || WorkRefusal::not_run(RefusalReason::NoUpstream, Some(SOON));
+    let no_service = || WorkRefusal::not_run(RefusalReason::NoUpstream, Some(SHORT_RETRY_DELAY));
     let service = service.ok_or_else(no_service)?;
     shared.machine().admit(&service, deadline, shared.clock.now())?;
     let query = RelayQuery {
@@ -305,9 +306,9 @@
         adapter: terms.adapter.clone(),
         prompt_tokens: terms.prompt.as_ref().map(|prompt| prompt.tokens),
         received,
-        age,
+        since_first_attempt: age,
         deadline,
-        looks: 0,
+        choice_count: 0,
         grant,
         identity: Some(identity),
     };
@@ -339,7 +340,7 @@
 }
 
 /// Reads the body within the size limit and the read timeout of the configuration.
-async fn read_body(configuration: &RouteSheet, body: Incoming) -> Result<Bytes, Rejection> {
+async fn read_body(configuration: &PublishedConfig, body: Incoming) -> Result<Bytes, Rejection> {
     let limited = Limited::new(body, configuration.limits.body_bytes);
     match timeout(configuration.limits.read_timeout, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
--- a/quillcove/src/relay/serve.rs
+++ b/quillcove/src/relay/serve.rs
@@ -18,7 +18,7 @@
 
 use super::forward;
 use super::shared::RelayShared;
-use crate::process::note_ready;
+use crate::process::update_readiness;
 
 /// Time after the start of a planned stop during which callers are served as before, because the
 /// load balancer removes a host only after two failed health checks, one second apart.
@@ -50,11 +50,11 @@
     let now = shared.clock.now();
     let end = now + shared.settings.stop.limit.saturating_sub(STOP_MARGIN);
     shared.machine().stop();
-    note_ready(&shared.is_ready, false, &shared.log);
+    update_readiness(&shared.is_ready, false, &shared.log);
     info!(shared.log, "planned stop begins"; "in_flight" => shared.machine().in_flight());
     let accept_until = now + DEREGISTRATION_TIME;
     let accepted = accept_all(&listener, &shared, draining);
-    let _ = shared.wakes.wait_until(&shared.clock, accept_until, accepted).await;
+    let _ = shared.resume_notifier.wait_until(&shared.clock, accept_until, accepted).await;
     // A request accepted from now on might not end within the stop's time limit. The closed port
     // rejects further callers, which makes them try another host at once.
     drop(listener);
@@ -66,7 +66,7 @@
         // Gives the last responses time to be sent.
         sleep(STOP_POLL * 5).await;
     };
-    let _ = shared.wakes.wait_until(&shared.clock, end, drained).await;
+    let _ = shared.resume_notifier.wait_until(&shared.clock, end, drained).await;
 }
 
 /// Accepts connections until the future is dropped.
--- a/quillcove/src/relay/shared.rs
+++ b/quillcove/src/relay/shared.rs
@@ -23,13 +23,13 @@
     pub metrics: Arc<ProcessMetrics>,
     pub pool: ReplicaPool,
     /// Notifies waits after a suspension of the process.
-    pub wakes: ResumeNotifier,
+    pub resume_notifier: ResumeNotifier,
     pub is_ready: AtomicBool,
     pub waiters: AdapterWaiters,
     /// Response headers of replicas that no code reads.
-    pub unread: UnknownHeaders,
+    pub unknown_status_headers: UnknownHeaders,
     /// Notifies the input task that messages are to be sent, such as load requests.
-    pub wanted: Notify,
+    pub messages_pending: Notify,
     machine: Mutex<RelayMachine>,
 }
 
@@ -39,12 +39,12 @@
         Ok(Self {
             pool: ReplicaPool::new(settings.requests.connect_timeout, clock),
             clock,
-            wakes: ResumeNotifier::new(),
+            resume_notifier: ResumeNotifier::new(),
             metrics: Arc::new(ProcessMetrics::new("relay")?),
             is_ready: AtomicBool::new(false),
             waiters: AdapterWaiters::default(),
-            unread: UnknownHeaders::default(),
-            wanted: Notify::new(),
+            unknown_status_headers: UnknownHeaders::default(),
+            messages_pending: Notify::new(),
             machine: Mutex::new(machine),
             settings,
             log,
--- a/quillcove/src/relay/stream.rs
+++ b/quillcove/src/relay/stream.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use quillcove_core::ids::MonoTime;
 use quillcove_core::relay::machine::RelayChoice;
-use quillcove_core::relay::replica::AttemptFate;
+use quillcove_core::relay::replica::AttemptOutcome;
 use quillcove_core::route::RouteKind;
 use quillcove_core::verdict::RunVerdict;
 use quillcove_platform::heads;
@@ -44,7 +44,7 @@
 /// Builds the response that forwards a stream.
 pub fn forward(open: OpenRequest, live: Box<LiveStream>) -> Response<ResponseBody> {
     let status = live.head.status;
-    let mut headers = heads::end_to_end(&live.head.headers);
+    let mut headers = heads::end_to_end_headers(&live.head.headers);
     // The length of a stream that may be resumed is not known in advance.
     if open.query.route.kind == RouteKind::ResumableStream {
         headers.remove(http::header::CONTENT_LENGTH);
@@ -80,15 +80,15 @@
                 return None;
             },
             StreamStep::TimeOver => {
-                forwarder.end_attempt(AttemptFate::Abandoned);
+                forwarder.end_attempt(AttemptOutcome::Abandoned);
                 forwarder.open.finish(RunVerdict::MayHaveRun, 0, "time over in the stream");
                 return Some((Err(BodyError::TimeOver), None));
             },
             StreamStep::Broken(reason) => {
                 if let Some(live) = &forwarder.live {
-                    ends::note_broken(&forwarder.open, &live.order);
+                    ends::handle_broken_response(&forwarder.open, &live.order);
                 }
-                forwarder.end_attempt(AttemptFate::Failed);
+                forwarder.end_attempt(AttemptOutcome::Failed);
                 if !forwarder.resume(&reason).await {
                     forwarder.open.finish(RunVerdict::MayHaveRun, 0, reason.as_str());
                     return Some((Err(BodyError::Upstream(reason)), None));
@@ -105,19 +105,20 @@
         let Some(live) = &mut self.live else {
             return StreamStep::Broken("no upstream connection".to_string());
         };
-        let received = shared.wakes.wait_until(&shared.clock, deadline, live.body.frame()).await;
+        let received =
+            shared.resume_notifier.wait_until(&shared.clock, deadline, live.body.frame()).await;
         let Some(frame) = received else {
             return StreamStep::TimeOver;
         };
         match frame {
-            None if self.splitter.holds_part() => {
+            None if self.splitter.has_incomplete_event() => {
                 StreamStep::Broken("the stream ended within an event".to_string())
             },
             None => StreamStep::Ended,
             Some(Err(error)) => StreamStep::Broken(error.to_string()),
             Some(Ok(frame)) => {
                 let data = frame.into_data().unwrap_or_default();
-                match self.splitter.take(&data) {
+                match self.splitter.push(&data) {
                     Ok(events) => StreamStep::Events(events.unwrap_or_default()),
                     Err(_) => StreamStep::Broken("event exceeds the size limit".to_string()),
                 }
@@ -130,7 +131,7 @@
     fn record_events(&mut self, events: &Bytes) {
         let now = self.open.shared.clock.now();
         if let Some(live) = &self.live {
-            self.open.shared.machine().hear(&live.order.replica, now);
+            self.open.shared.machine().record_bytes_received(&live.order.replica, now);
         }
         if events.is_empty() {
             return;
@@ -140,7 +141,7 @@
             None => {
                 let took = now.saturating_sub(self.open.query.received);
                 self.open.first_event = Some(took);
-                self.open.shared.metrics.answered(self.open.class(), took);
+                self.open.shared.metrics.record_first_byte(self.open.class(), took);
             },
             Some(last_forwarded) => {
                 let pause = now.saturating_sub(last_forwarded);
@@ -159,11 +160,11 @@
         if let Some(live) = self.live.take() {
             let key = self.open.query.adapter.as_ref();
             let replica = &live.order.replica;
-            self.open.shared.machine().end(replica, key, AttemptFate::Answered, now);
+            self.open.shared.machine().end_attempt(replica, key, AttemptOutcome::Answered, now);
             match attempt::is_framed(&live.head.headers) {
                 true => self.open.record_success(),
                 // Without framing, the stream looks complete even if the replica exited: check that.
-                false => ends::note_broken(&self.open, &live.order),
+                false => ends::handle_broken_response(&self.open, &live.order),
             }
             self.open.shared.pool.put(live.connection);
         }
@@ -171,18 +172,18 @@
     }
 
     /// Ends the current attempt and closes its connection.
-    fn end_attempt(&mut self, fate: AttemptFate) {
+    fn end_attempt(&mut self, fate: AttemptOutcome) {
         let now = self.open.shared.clock.now();
         if let Some(live) = self.live.take() {
             let key = self.open.query.adapter.as_ref();
-            self.open.shared.machine().end(&live.order.replica, key, fate, now);
+            self.open.shared.machine().end_attempt(&live.order.replica, key, fate, now);
         }
     }
 
     /// Resumes the stream at another replica after the last complete event. Returns whether that
     /// succeeded.
     async fn resume(&mut self, reason: &str) -> bool {
-        self.splitter.clear();
+        self.splitter.discard_incomplete();
         let open = &mut self.open;
         if open.query.route.kind != RouteKind::ResumableStream {
             return false;
@@ -194,12 +195,12 @@
             let RelayChoice::Send(order) = choice else {
                 return false;
             };
-            if !open.shared.machine().take_repeat(&open.query.service) {
+            if !open.shared.machine().take_retry(&open.query.service) {
                 return false;
             }
             open.attempts += 1;
             open.tried.push(order.replica.clone());
-            open.shared.metrics.attempted(false);
+            open.shared.metrics.record_attempt(false);
             info!(open.shared.log, "stream resumes"; "id" => &open.terms.id,
                 "replica" => &order.replica, "after" => &self.last_event, "reason" => reason);
             let end = attempt::send(open, &order, self.last_event.as_deref()).await;
@@ -215,7 +216,7 @@
                     open.runs += u32::from(is_tried);
                     let now = open.shared.clock.now();
                     let key = open.query.adapter.as_ref();
-                    open.shared.machine().end(&order.replica, key, failure.fate(), now);
+                    open.shared.machine().end_attempt(&order.replica, key, failure.fate(), now);
                 },
             }
         }
@@ -226,6 +227,6 @@
 impl Drop for EventForwarder {
     /// Reports a stream that is dropped before its end as abandoned: the caller disconnected.
     fn drop(&mut self) {
-        self.end_attempt(AttemptFate::Abandoned);
+        self.end_attempt(AttemptOutcome::Abandoned);
     }
 }
--- a/quillcove/src/relay/waiters.rs
+++ b/quillcove/src/relay/waiters.rs
@@ -29,7 +29,7 @@
         let mut groups = self.groups();
         let group = groups.entry(key.clone()).or_default();
         group.members += 1;
-        WaiterGuard { waiters: self, key: key.clone(), news: group.notify.clone() }
+        WaiterGuard { waiters: self, key: key.clone(), notify: group.notify.clone() }
     }
 
     /// Notifies the requests that wait for adapters which an engine now holds.
@@ -49,7 +49,7 @@
 pub struct WaiterGuard<'a> {
     waiters: &'a AdapterWaiters,
     key: AdapterKey,
-    pub news: Arc<Notify>,
+    pub notify: Arc<Notify>,
 }
 
 impl Drop for WaiterGuard<'_> {
--- a/quillcove/src/web/answer.rs
+++ b/quillcove/src/web/answer.rs
@@ -9,7 +9,7 @@
 use super::headers;
 
 /// Result of an HTTP handler.
-pub type WebAnswer = Result<Response<Body>, dropshot::HttpError>;
+pub type HandlerResult = Result<Response<Body>, dropshot::HttpError>;
 
 /// Returns the HTTP status for a reason to reject a request.
 ///
@@ -89,7 +89,7 @@
 /// let answer = refusal(&WorkRefusal::not_run(RefusalReason::Overloaded, soon), "queue full");
 /// assert_eq!(answer.unwrap().headers()["retry-after"], "2");
 /// ```
-pub fn refusal(refusal: &WorkRefusal, message: &str) -> WebAnswer {
+pub fn refusal(refusal: &WorkRefusal, message: &str) -> HandlerResult {
     let mut response = Response::builder()
         .status(http_status(refusal.reason))
         .header(headers::VERDICT, refusal.verdict.label())
@@ -101,29 +101,29 @@
             .header(headers::RETRY_AFTER_MS, pause.as_millis() as u64);
     }
     let body = refusal_body(refusal, message).to_string();
-    response.body(Body::from(body)).map_err(internal)
+    response.body(Body::from(body)).map_err(internal_error)
 }
 
 /// Builds a JSON response of the process itself, with the verdict `ran`.
 ///
 /// ```
-/// let answer = quillcove::web::answer::json_answer(&serde_json::json!({ "ok": true }));
+/// let answer = quillcove::web::answer::json_response(&serde_json::json!({ "ok": true }));
 /// assert_eq!(answer.unwrap().headers()["quillcove-verdict"], "ran");
 /// ```
-pub fn json_answer(value: &impl Serialize) -> WebAnswer {
-    let body = serde_json::to_vec(value).map_err(internal)?;
+pub fn json_response(value: &impl Serialize) -> HandlerResult {
+    let body = serde_json::to_vec(value).map_err(internal_error)?;
     let response = Response::builder()
         .header(headers::VERDICT, RunVerdict::Ran.label())
         .header(header::CONTENT_TYPE, "application/json");
-    response.body(Body::from(body)).map_err(internal)
+    response.body(Body::from(body)).map_err(internal_error)
 }
 
 /// Returns the error response (status 500) for a fault of the process itself.
 ///
 /// ```
-/// assert_eq!(quillcove::web::answer::internal("x").status_code.as_u16(), 500);
+/// assert_eq!(quillcove::web::answer::internal_error("x").status_code.as_u16(), 500);
 /// ```
-pub fn internal(error: impl std::fmt::Display) -> dropshot::HttpError {
+pub fn internal_error(error: impl std::fmt::Display) -> dropshot::HttpError {
     dropshot::HttpError::for_internal_error(error.to_string())
 }
 
@@ -132,9 +132,9 @@
 /// ```
 /// use quillcove_core::verdict::RefusalReason;
 ///
-/// assert!(quillcove::web::answer::explain(RefusalReason::Overloaded).contains("queue"));
+/// assert!(quillcove::web::answer::refusal_message(RefusalReason::Overloaded).contains("queue"));
 /// ```
-pub fn explain(reason: RefusalReason) -> &'static str {
+pub fn refusal_message(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::BadRequest => "the request can not be read",
         RefusalReason::Unknown => "the bundle in force does not serve this",
--- a/quillcove/src/web/body.rs
+++ b/quillcove/src/web/body.rs
@@ -50,9 +50,9 @@
     /// ```no_run
     /// # fn incoming() -> hyper::body::Incoming { unimplemented!() }
     /// let body = quillcove::web::body::WatchedBody::new(incoming(), |_| ());
-    /// body.ending_with(|_| None);
+    /// body.with_end_chunk(|_| None);
     /// ```
-    pub fn ending_with(
+    pub fn with_end_chunk(
         mut self,
         tail: impl FnOnce(BodyEnd) -> Option<Bytes> + Send + Sync + 'static,
     ) -> Self {
--- a/quillcove/src/web/headers.rs
+++ b/quillcove/src/web/headers.rs
@@ -43,7 +43,7 @@
 /// Adapter and its version, from entry to agent and back.
 pub const ADAPTER: &str = "quillcove-adapter";
 /// Status of an agent, as JSON, on each of its responses.
-pub const NEWS: &str = "quillcove-news";
+pub const AGENT_STATUS: &str = "quillcove-news";
 
 /// `yes` on each response of an upstream that is draining.
 pub const LEAVING: &str = "quillcove-leaving";
@@ -91,10 +91,10 @@
 /// let mut headers = HeaderMap::new();
 /// headers.insert("retry-after", "2".parse().unwrap());
 /// let status = StatusCode::SERVICE_UNAVAILABLE;
-/// let (notice, fault) = quillcove::web::headers::notice(status, &headers, SystemTime::now());
+/// let (notice, fault) = quillcove::web::headers::parse_upstream_notice(status, &headers, SystemTime::now());
 /// assert_eq!((notice.rest, fault), (Some(Duration::from_secs(2)), None));
 /// ```
-pub fn notice(
+pub fn parse_upstream_notice(
     status: StatusCode,
     headers: &HeaderMap,
     now: SystemTime,
@@ -131,9 +131,9 @@
 /// let mut headers = HeaderMap::new();
 /// headers.insert("quillcove-ticket", "t".parse().unwrap());
 /// headers.insert("accept", "text/plain".parse().unwrap());
-/// assert_eq!(quillcove::web::headers::passed(&headers).len(), 1);
+/// assert_eq!(quillcove::web::headers::forwarded_headers(&headers).len(), 1);
 /// ```
-pub fn passed(headers: &HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         let is_own = name.as_str().starts_with(OWN_PREFIX);
--- a/quillcove/src/web/server.rs
+++ b/quillcove/src/web/server.rs
@@ -15,9 +15,9 @@
 pub const ANY_METHOD: [Method; 6] =
     [Method::GET, Method::POST, Method::PUT, Method::PATCH, Method::DELETE, Method::HEAD];
 
-/// Path parameter of a wildcard; handlers use [`rest_of`] to get that part undecoded.
+/// Path parameter of a wildcard; handlers use [`path_after`] to get that part undecoded.
 #[derive(Debug, Deserialize, JsonSchema)]
-pub struct RestPath {
+pub struct WildcardPath {
     /// Path segments, percent-decoded.
     pub path: Vec<String>,
 }
@@ -26,12 +26,12 @@
 /// decoded segments cannot be joined instead, because an encoded slash would become a separator.
 ///
 /// ```
-/// use quillcove::web::server::rest_of;
+/// use quillcove::web::server::path_after;
 ///
 /// let uri = "/svc/booking/trips/a%2Fb?day=2".parse().unwrap();
-/// assert_eq!(rest_of(&uri, 2), "trips/a%2Fb?day=2");
+/// assert_eq!(path_after(&uri, 2), "trips/a%2Fb?day=2");
 /// ```
-pub fn rest_of(uri: &http::Uri, segments: usize) -> &str {
+pub fn path_after(uri: &http::Uri, segments: usize) -> &str {
     let path = uri.path_and_query().map_or("", |path| path.as_str());
     path.splitn(segments + 2, '/').nth(segments + 1).unwrap_or("")
 }
--- a/quillcove/tests/platform_watch.rs
+++ b/quillcove/tests/platform_watch.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use quillcove::bundle::shelf::FleetShelf;
+use quillcove::bundle::shelf::SharedFleetState;
 use quillcove::bundle::watch::FleetWatch;
 use quillcove::platform::{HostList, PlatformPort, PlatformValue};
 use quillcove::web::client::WebError;
@@ -63,7 +63,7 @@
     let (hosts, values) = (platform.hosts.clone(), platform.values.clone());
     let sections = (Default::default(), Default::default());
     let log = quillcove::logging::silent();
-    let watch = FleetWatch::new(platform, sections, None, FleetShelf::default(), log, |_| ());
+    let watch = FleetWatch::new(platform, sections, None, SharedFleetState::default(), log, |_| ());
     let (_asks, receiver) = mpsc::channel(1);
     let seen = |asked: &AskedWaits| asked.lock().unwrap().get(2).copied();
     let both_seen = async {
--- a/quillcove_core/src/access/account.rs
+++ b/quillcove_core/src/access/account.rs
@@ -170,7 +170,7 @@
 
     /// Returns the units that each of `relays` relays may have spent without a report.
     fn unreported_limit(&self, rules: &LimitRules, relays: usize) -> f64 {
-        rules.slack(&self.limit) * UNREPORTED_SHARE / relays.max(1) as f64
+        rules.overshoot_allowance(&self.limit) * UNREPORTED_SHARE / relays.max(1) as f64
     }
 
     /// Returns whether the other relays have to be informed before the next heartbeat. A single
--- a/quillcove_core/src/access/ledger.rs
+++ b/quillcove_core/src/access/ledger.rs
@@ -11,7 +11,7 @@
 
 use super::account::LimitAccount;
 use super::limit::{LimitRule, LimitRules, UseCharge, UseClaim, UseLimit};
-use super::spending::{SpendBeacon, SpentTotal, WorkspaceLevel};
+use super::spending::{SpentTotal, UsageReport, WorkspaceLevel};
 use super::workspace::WorkspaceRecord;
 use crate::ids::{MonoTime, WorkspaceName};
 
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
     /// Relays that are currently reachable, this one included.
-    pub heard: usize,
+    pub reachable: usize,
     /// Highest number of relays that were reachable at once. Those now missing may be cut off and
     /// still spend their share.
     pub most: usize,
@@ -68,8 +68,8 @@
     /// and their callers move to the others. If the missing relays are cut off instead, either each
     /// side is a minority or both sides together exceed the limit by a quarter at most.
     pub(crate) fn share(self) -> f64 {
-        let most = self.most.max(self.heard).max(1) as f64;
-        let own = self.heard as f64 / most;
+        let most = self.most.max(self.reachable).max(1) as f64;
+        let own = self.reachable as f64 / most;
         if own > 0.5 { (1.0 + own) / 2.0 } else { own }
     }
 }
@@ -112,7 +112,7 @@
     pub fn new(rules: LimitRules) -> Self {
         Self {
             rules,
-            fleet: FleetSize { heard: 1, most: 1 },
+            fleet: FleetSize { reachable: 1, most: 1 },
             fleet_grown_at: None,
             is_fleet_known: !rules.has_peers,
             peer_levels: BTreeMap::new(),
@@ -141,10 +141,10 @@
     /// use quillcove_core::access::limit::LimitRules;
     ///
     /// let mut ledger = LimitLedger::new(LimitRules::default());
-    /// ledger.set_fleet(FleetSize { heard: 4, most: 4 }, Duration::ZERO);
+    /// ledger.set_fleet(FleetSize { reachable: 4, most: 4 }, Duration::ZERO);
     /// ```
     pub fn set_fleet(&mut self, fleet: FleetSize, now: MonoTime) {
-        if fleet.heard > self.fleet.heard {
+        if fleet.reachable > self.fleet.reachable {
             self.fleet_grown_at = Some(now);
         }
         let before = self.share();
@@ -185,13 +185,13 @@
     /// Returns the units that a process takes as unspent when it knows nothing of a workspace's
     /// usage.
     fn initial_level(&self, limit: &UseLimit) -> f64 {
-        limit.burst.min(self.rules.slack(limit) * INITIAL_SHARE)
+        limit.burst.min(self.rules.overshoot_allowance(limit) * INITIAL_SHARE)
     }
 
     /// Returns the units that this relay may have spent while the fleet is not known; `None` once
     /// it is.
     fn startup_allowance(&self, limit: &UseLimit, now: MonoTime) -> Option<f64> {
-        let relays = ASSUMED_FLEET_SIZE.max(self.fleet.heard) as f64;
+        let relays = ASSUMED_FLEET_SIZE.max(self.fleet.reachable) as f64;
         let allowed = self.initial_level(limit) + limit.rate * now.as_secs_f64();
         (!self.is_fleet_known && now < DISCOVERY_TIMEOUT).then(|| allowed / relays)
     }
@@ -227,7 +227,7 @@
         };
         let cost = limit.unit.cost_of(claim.tokens);
         let share = self.share();
-        let heard = self.fleet.heard.max(1);
+        let heard = self.fleet.reachable.max(1);
         let reserve =
             self.initial_level(&limit) * RANK_RESERVE * f64::from(claim.rank.min(MAX_RANK));
         let allowance = self.startup_allowance(&limit, now);
@@ -249,9 +249,9 @@
     /// use quillcove_core::access::limit::{LimitRules, UseCharge};
     ///
     /// let charge = UseCharge { workspace: "w".into(), cost: 1 };
-    /// LimitLedger::new(LimitRules::default()).give_back(&charge);
+    /// LimitLedger::new(LimitRules::default()).refund(&charge);
     /// ```
-    pub fn give_back(&mut self, charge: &UseCharge) {
+    pub fn refund(&mut self, charge: &UseCharge) {
         if let Some(account) = self.accounts.get_mut(&charge.workspace) {
             account.refund(charge.cost);
         }
@@ -264,16 +264,16 @@
     /// use std::time::Duration;
     /// use quillcove_core::access::ledger::LimitLedger;
     /// use quillcove_core::access::limit::LimitRules;
-    /// use quillcove_core::access::spending::SpendBeacon;
+    /// use quillcove_core::access::spending::UsageReport;
     ///
     /// let uptime = Duration::from_secs(1);
     /// let (spent, levels) = (Vec::new(), Vec::new());
-    /// let report = SpendBeacon { host: "front-2".into(), incarnation: 1, uptime, spent, levels };
-    /// LimitLedger::new(LimitRules::default()).take_told(&report, |_| None, Duration::ZERO);
+    /// let report = UsageReport { host: "front-2".into(), incarnation: 1, uptime, spent, levels };
+    /// LimitLedger::new(LimitRules::default()).record_report(&report, |_| None, Duration::ZERO);
     /// ```
-    pub fn take_told(
+    pub fn record_report(
         &mut self,
-        report: &SpendBeacon,
+        report: &UsageReport,
         limit_of: impl Fn(&str) -> Option<UseLimit>,
         now: MonoTime,
     ) {
@@ -288,7 +288,7 @@
                 continue;
             };
             let account = self.account(&spent.workspace, limit, now);
-            let lowest = -rules.slack(&limit);
+            let lowest = -rules.overshoot_allowance(&limit);
             account.record_total(
                 &report.host,
                 report.incarnation,
@@ -300,7 +300,7 @@
     }
 
     /// Adopts the levels reported by a relay that was running before this one started.
-    fn adopt_levels(&mut self, report: &SpendBeacon, now: MonoTime) {
+    fn adopt_levels(&mut self, report: &UsageReport, now: MonoTime) {
         if report.uptime <= now {
             return;
         }
@@ -352,7 +352,7 @@
             return Vec::new();
         }
         self.reported_at = now;
-        let (rules, relays) = (self.rules, self.fleet.heard);
+        let (rules, relays) = (self.rules, self.fleet.reachable);
         let mut spent = Vec::new();
         for (name, account) in &mut self.accounts {
             if let Some(total) = account.report_total(&rules, relays) {
@@ -364,9 +364,9 @@
 
     /// Returns whether some spending has to be reported before the next heartbeat.
     fn is_urgent(&self, now: MonoTime) -> bool {
-        let interval = URGENT_REPORT_INTERVAL * self.fleet.heard as u32;
+        let interval = URGENT_REPORT_INTERVAL * self.fleet.reachable as u32;
         let is_interval_over = now.saturating_sub(self.reported_at) >= interval;
-        let (rules, relays) = (&self.rules, self.fleet.heard);
+        let (rules, relays) = (&self.rules, self.fleet.reachable);
         self.rules.rule == LimitRule::Prompt
             && is_interval_over
             && self.accounts.values().any(|account| account.is_urgent(rules, relays))
--- a/quillcove_core/src/access/limit.rs
+++ b/quillcove_core/src/access/limit.rs
@@ -98,9 +98,9 @@
     /// use quillcove_core::access::limit::{LimitRules, UseLimit, UseUnit};
     ///
     /// let limit = UseLimit { unit: UseUnit::Requests, rate: 11.0, burst: 12.0 };
-    /// assert_eq!(LimitRules::default().slack(&limit), 25.0);
+    /// assert_eq!(LimitRules::default().overshoot_allowance(&limit), 25.0);
     /// ```
-    pub fn slack(&self, limit: &UseLimit) -> f64 {
+    pub fn overshoot_allowance(&self, limit: &UseLimit) -> f64 {
         self.overshoot * (limit.rate * self.window.as_secs_f64() + limit.burst) + self.tolerance
     }
 }
--- a/quillcove_core/src/access/right.rs
+++ b/quillcove_core/src/access/right.rs
@@ -41,9 +41,9 @@
 
 /// How to renew the freshness proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RightStep {
+pub enum ProofStep {
     /// Do nothing: the proof is fresh enough, was requested a moment ago, or has no bound.
-    Rest,
+    Idle,
     /// Ask other relays.
     Ask,
     /// Ask other relays, and read the store.
@@ -54,26 +54,26 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quillcove_core::access::right::RightRules;
+/// use quillcove_core::access::right::KeyValidityRules;
 ///
-/// let rules = RightRules { bound: Some(Duration::from_secs(5)) };
+/// let rules = KeyValidityRules { bound: Some(Duration::from_secs(5)) };
 /// let now = Duration::from_secs(100);
 /// assert!(rules.holds(Some(now - Duration::from_secs(4)), now));
 /// assert!(!rules.holds(Some(now - Duration::from_secs(5)), now));
 /// assert!(!rules.holds(None, now));
-/// assert!(RightRules::default().holds(None, now));
+/// assert!(KeyValidityRules::default().holds(None, now));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RightRules {
+pub struct KeyValidityRules {
     /// Longest time for which a key may go on working after it was revoked; `None` for no bound.
     pub bound: Option<Duration>,
 }
 
-impl RightRules {
+impl KeyValidityRules {
     /// Returns whether keys are valid at `now`, if everything published before `proved_at` is
     /// known.
     ///
-    /// See [`RightRules`] for an example.
+    /// See [`KeyValidityRules`] for an example.
     pub fn holds(&self, proved_at: Option<MonoTime>, now: MonoTime) -> bool {
         let Some(bound) = self.bound else {
             return true;
@@ -86,9 +86,9 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::access::right::RightRules;
+    /// use quillcove_core::access::right::KeyValidityRules;
     ///
-    /// let rules = RightRules { bound: Some(Duration::from_secs(5)) };
+    /// let rules = KeyValidityRules { bound: Some(Duration::from_secs(5)) };
     /// assert_eq!(rules.watch_time(), Some(Duration::from_secs(1)));
     /// ```
     pub fn watch_time(&self) -> Option<Duration> {
@@ -99,32 +99,32 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::access::right::{RightRules, RightStep};
+    /// use quillcove_core::access::right::{KeyValidityRules, ProofStep};
     ///
-    /// let rules = RightRules { bound: Some(Duration::from_secs(5)) };
+    /// let rules = KeyValidityRules { bound: Some(Duration::from_secs(5)) };
     /// let now = Duration::from_secs(100);
     /// let step = |age| rules.step(Some(now - Duration::from_millis(age)), None, now);
-    /// assert_eq!(step(1000), RightStep::Rest);
-    /// assert_eq!(step(2600), RightStep::Ask);
-    /// assert_eq!(step(3100), RightStep::AskAndRead);
+    /// assert_eq!(step(1000), ProofStep::Idle);
+    /// assert_eq!(step(2600), ProofStep::Ask);
+    /// assert_eq!(step(3100), ProofStep::AskAndRead);
     /// ```
     pub fn step(
         &self,
         proved_at: Option<MonoTime>,
         asked_at: Option<MonoTime>,
         now: MonoTime,
-    ) -> RightStep {
+    ) -> ProofStep {
         let Some(bound) = self.bound else {
-            return RightStep::Rest;
+            return ProofStep::Idle;
         };
         let age = proved_at.map_or(Duration::MAX, |at| now.saturating_sub(at));
         let was_just_asked = asked_at.is_some_and(|at| now.saturating_sub(at) < ASK_INTERVAL);
         if age < bound.mul_f64(ASK_SHARE) || was_just_asked {
-            return RightStep::Rest;
+            return ProofStep::Idle;
         }
         match age < bound.mul_f64(READ_SHARE) {
-            true => RightStep::Ask,
-            false => RightStep::AskAndRead,
+            true => ProofStep::Ask,
+            false => ProofStep::AskAndRead,
         }
     }
 }
--- a/quillcove_core/src/access/spending.rs
+++ b/quillcove_core/src/access/spending.rs
@@ -17,7 +17,7 @@
 
 /// Report of a relay's spending to the other relays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SpendBeacon {
+pub struct UsageReport {
     /// Host of the sending relay.
     pub host: HostId,
     /// Incarnation of its process.
--- a/quillcove_core/src/agent/admission.rs
+++ b/quillcove_core/src/agent/admission.rs
@@ -9,7 +9,7 @@
 use crate::class::WorkClass;
 use crate::ids::{AttemptId, Incarnation, MonoTime};
 use crate::once::book::OnceKey;
-use crate::verdict::{RefusalReason, SOON, WorkRefusal};
+use crate::verdict::{RefusalReason, SHORT_RETRY_DELAY, WorkRefusal};
 
 impl AgentMachine {
     pub(super) fn receive_attempt(
@@ -92,14 +92,17 @@
         }
         let is_known = self.rules.kind == UpstreamKind::Service || self.engine.is_some();
         if !self.is_upstream_up || !is_known {
-            return Err(WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SOON)));
+            return Err(WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SHORT_RETRY_DELAY)));
         }
         Ok(())
     }
 
     fn check_target(&self, order: &RunOrder) -> Result<(), WorkRefusal> {
         let Some(bundle) = &self.bundle else {
-            return Err(WorkRefusal::not_run(RefusalReason::BundleMissing, Some(SOON)));
+            return Err(WorkRefusal::not_run(
+                RefusalReason::BundleMissing,
+                Some(SHORT_RETRY_DELAY),
+            ));
         };
         let is_served = match (&order.target, self.rules.kind) {
             (WorkTarget::Adapter(adapter), UpstreamKind::Engine) => bundle.serves(adapter),
@@ -108,7 +111,7 @@
         };
         match is_served {
             true => Ok(()),
-            false => Err(WorkRefusal::not_run(RefusalReason::Unknown, Some(SOON))),
+            false => Err(WorkRefusal::not_run(RefusalReason::Unknown, Some(SHORT_RETRY_DELAY))),
         }
     }
 
@@ -141,7 +144,7 @@
         out: &mut Vec<AgentAction>,
     ) {
         if let Some(once) = &attempt.once {
-            self.book.settle(now, once, None);
+            self.book.record_outcome(now, once, None);
         }
         self.refuse(now, attempt.order.attempt, refusal, out);
     }
--- a/quillcove_core/src/agent/crashes.rs
+++ b/quillcove_core/src/agent/crashes.rs
@@ -4,8 +4,8 @@
 use super::AgentMachine;
 use super::event::RunEnd;
 use crate::crash::digest::RequestIdentity;
-use crate::crash::telling::CrashBeacon;
-use crate::crash::watch::{AnswerBreak, ReplicaRun};
+use crate::crash::telling::CrashReport;
+use crate::crash::watch::{ReplicaRun, ResponseAbort};
 use crate::ids::MonoTime;
 
 /// Maximum number of fatal requests in one response: each takes about 150 bytes of JSON.
@@ -33,11 +33,11 @@
         match end {
             RunEnd::Broken => {
                 let run = self.upstream_run();
-                let broke = AnswerBreak { identity, has_begun: false, sent_at: now };
-                self.crash_watch.note_broken(&run, broke, now);
+                let broke = ResponseAbort { identity, has_begun: false, sent_at: now };
+                self.crash_watch.record_abort(&run, broke, now);
             },
             RunEnd::Complete(status) if (200..300).contains(&status) => {
-                self.crash_watch.note_good(identity, now);
+                self.crash_watch.record_success(identity, now);
             },
             RunEnd::Complete(_) | RunEnd::NotRun => {},
         }
@@ -46,11 +46,11 @@
     /// Records that the upstream exited, or restarted unnoticed.
     pub(super) fn record_upstream_exit(&mut self, now: MonoTime) {
         let run = self.upstream_run();
-        self.crash_watch.confirm_end(&run, now);
+        self.crash_watch.confirm_exit(&run, now);
     }
 
     /// Returns the crash records that are sent to entries with each response.
-    pub(super) fn crash_report(&self) -> CrashBeacon {
+    pub(super) fn crash_report(&self) -> CrashReport {
         let mut known = self.crash_watch.book().all(self.last_event_at);
         known.ends.truncate(MAX_REPORTED_REQUESTS);
         known
