--- a/quillcove_core/src/agent/event.rs
+++ b/quillcove_core/src/agent/event.rs
@@ -12,7 +12,7 @@
 use crate::fence::OrderFence;
 use crate::ids::{AttemptId, BundleVersion, CallerId, Incarnation, MonoTime};
 use crate::once::book::{OnceClaim, OnceState};
-use crate::permit::PermitAnswer;
+use crate::permit::PermitResponse;
 use crate::standing::notice::UpstreamNotice;
 use crate::verdict::WorkRefusal;
 
@@ -137,31 +137,31 @@
 #[derive(Clone, Debug)]
 pub enum AgentEvent {
     /// An entry sent an attempt.
-    Arrived(RunOrder),
+    AttemptReceived(RunOrder),
     /// An entry withdraws an attempt that it sent to the given incarnation of the agent.
     Withdrawn(AttemptId, Incarnation),
     /// A started attempt ended.
-    Ended(AttemptId, RunEnd),
+    RunEnded(AttemptId, RunEnd),
     /// The upstream sent a report.
-    Reported(EngineReport),
+    ReportReceived(EngineReport),
     /// The upstream does not respond.
-    UpstreamLost,
+    UpstreamUnreachable,
     /// The upstream reported its status with a response.
-    Said(UpstreamNotice),
+    NoticeReceived(UpstreamNotice),
     /// The upstream responded successfully to an attempt and announced no rate limit with the
     /// response.
-    NamedNoLimit(AttemptId),
+    NoLimitAnnounced(AttemptId),
     /// An order ended.
     OrderEnded(OrderFence, OrderEnd),
     /// The load rate coordinator answered, or none could be reached and the agent paces its loads
     /// at its equal share of the rate.
-    PermitAnswered(PermitAnswer),
+    PermitAnswered(PermitResponse),
     /// A bundle came into force.
-    BundleTaken(Arc<FleetBundle>),
+    BundleActivated(Arc<FleetBundle>),
     /// The host list was read, or could not be read (`None`).
-    HostSeen(Option<HostState>),
+    HostStateRead(Option<HostState>),
     /// The process was asked to stop.
-    StopAsked,
+    StopRequested,
     /// Periodic timer.
     Ticked,
 }
@@ -170,21 +170,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
     /// Hand the attempt to the upstream.
-    Start(AttemptId),
+    StartAttempt(AttemptId),
     /// Reject the attempt.
     Refuse(AttemptId, WorkRefusal),
     /// Respond to a withdrawal.
     AnswerWithdrawal(AttemptId, WithdrawAnswer),
     /// Send an order to the engine.
-    Send(EngineOrder),
+    SendOrder(EngineOrder),
     /// Request a permit from the load rate coordinator, with the value of the load.
-    AskPermit(f64),
+    RequestPermit(f64),
     /// Return the permit.
     ReturnPermit,
     /// Read the host list now, because this process was suspended.
     ReadHosts,
     /// The engine acted on this bundle version, which is newer than the one in force here.
-    WitnessBundle(BundleVersion),
+    ReportNewerBundle(BundleVersion),
     /// No attempt is in flight and the process may exit.
     Stopped,
 }
@@ -249,7 +249,7 @@
     pub checks_fence: bool,
     /// Lowest term to use at an engine. It grows with each start of an agent on the host, so that
     /// an engine that has lost its fences is not taken over under an old term.
-    pub least_term: u64,
+    pub min_term: u64,
     /// Maximum number of waiting attempts.
     pub queue_limit: usize,
     /// Maximum number of concurrent attempts at a plain service.
@@ -265,7 +265,7 @@
     /// be outdated.
     pub settle_time: Duration,
     /// Time between events above which the process counts as suspended.
-    pub pause_limit: Duration,
+    pub suspension_limit: Duration,
     /// How long marks of ended attempts are kept to reject late copies.
     pub mark_lifetime: Duration,
     /// Half-life of an adapter's demand.
@@ -287,14 +287,14 @@
         Self {
             kind: UpstreamKind::Engine,
             checks_fence: true,
-            least_term: 0,
+            min_term: 0,
             queue_limit: 256,
             service_limit: 64,
             engine_margin: 2,
             batch_share: 0.75,
             order_lifetime: Duration::from_secs(10),
             settle_time: Duration::from_secs(2),
-            pause_limit: Duration::from_secs(2),
+            suspension_limit: Duration::from_secs(2),
             mark_lifetime: Duration::from_secs(600),
             half_life: Duration::from_secs(30),
             evict_margin: 1.0,
--- a/quillcove_core/src/agent/limit.rs
+++ b/quillcove_core/src/agent/limit.rs
@@ -45,7 +45,7 @@
         let Some(limit) = self.upstream_status.limit() else {
             return Duration::ZERO;
         };
-        let first_wait = self.upstream_status.takes_work_from(now).saturating_sub(now);
+        let first_wait = self.upstream_status.next_request_time(now).saturating_sub(now);
         first_wait + limit.gap() * ahead as u32
     }
 
--- a/quillcove_core/src/agent/loads.rs
+++ b/quillcove_core/src/agent/loads.rs
@@ -12,7 +12,7 @@
 use crate::bundle::FleetBundle;
 use crate::class::WorkClass;
 use crate::ids::MonoTime;
-use crate::permit::PermitAnswer;
+use crate::permit::PermitResponse;
 use crate::verdict::{RefusalReason, WorkRefusal};
 
 /// Time after which a granted permit is returned unused, because the answer is outdated.
@@ -138,7 +138,7 @@
             stage: PlanStage::PermitRequested,
         });
         match is_paced {
-            true => out.push(AgentAction::AskPermit(value)),
+            true => out.push(AgentAction::RequestPermit(value)),
             false => self.send_next_order(now, out),
         }
     }
@@ -209,7 +209,7 @@
     pub(super) fn apply_permit_answer(
         &mut self,
         now: MonoTime,
-        answer: PermitAnswer,
+        answer: PermitResponse,
         out: &mut Vec<AgentAction>,
     ) {
         let engine = self.engine.as_mut();
@@ -217,24 +217,26 @@
             engine.plan.as_ref().is_some_and(|plan| plan.stage == PlanStage::PermitRequested)
         });
         let Some(engine) = requesting else {
-            if answer == PermitAnswer::Granted {
+            if answer == PermitResponse::Granted {
                 out.push(AgentAction::ReturnPermit);
             }
             return;
         };
         let requested_at = engine.plan.as_ref().map_or(now, |plan| plan.started_at);
         match answer {
-            PermitAnswer::Granted if now.saturating_sub(requested_at) > PERMIT_ANSWER_LIFETIME => {
+            PermitResponse::Granted
+                if now.saturating_sub(requested_at) > PERMIT_ANSWER_LIFETIME =>
+            {
                 engine.plan = None;
                 out.push(AgentAction::ReturnPermit);
             },
-            PermitAnswer::Granted => {
+            PermitResponse::Granted => {
                 if let Some(plan) = &mut engine.plan {
                     plan.has_permit = true;
                 }
                 self.send_next_order(now, out);
             },
-            PermitAnswer::Wait(pause) => {
+            PermitResponse::Wait(pause) => {
                 engine.plan = None;
                 self.next_permit_request_at = now + pause;
             },
--- a/quillcove_core/src/agent/mod.rs
+++ b/quillcove_core/src/agent/mod.rs
@@ -30,12 +30,12 @@
 use crate::bundle::FleetBundle;
 use crate::class::WorkClass;
 use crate::crash::digest::RequestIdentity;
-use crate::crash::watch::CrashWatch;
+use crate::crash::watch::CrashTracker;
 use crate::demand::DemandMeter;
 use crate::ids::{AttemptId, HostId, Incarnation, MonoTime};
 use crate::once::book::{OnceBook, OnceKey};
-use crate::standing::UpstreamStanding;
-use crate::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
+use crate::standing::UpstreamStatus;
+use crate::verdict::{RefusalReason, RunVerdict, SHORT_RETRY_DELAY, WorkRefusal};
 
 /// Number of demand meters above which those of faded demand are removed.
 const MAX_DEMAND_METERS: usize = 4096;
@@ -72,7 +72,7 @@
 /// let book = OnceBook::new("e1", 5, [7; 32], BookLimits::default(), Duration::ZERO);
 /// let mut machine = AgentMachine::new("e1", 5, AgentRules::default(), book, Duration::ZERO);
 /// let mut actions = Vec::new();
-/// machine.handle(Duration::ZERO, AgentEvent::StopAsked, &mut actions);
+/// machine.handle(Duration::ZERO, AgentEvent::StopRequested, &mut actions);
 /// assert_eq!(actions, [AgentAction::Stopped]);
 /// ```
 #[derive(Clone, Debug)]
@@ -91,7 +91,7 @@
     next_permit_request_at: MonoTime,
     is_upstream_up: bool,
     /// What the current process start of the upstream has reported about itself.
-    upstream_status: UpstreamStanding,
+    upstream_status: UpstreamStatus,
     /// Consecutive reports that do not mention draining, since the upstream announced it.
     reports_without_draining: u32,
     host_state: HostState,
@@ -99,7 +99,7 @@
     has_stopped: bool,
     is_host_state_confirmed: bool,
     /// Detects fatal requests of the upstream.
-    crash_watch: CrashWatch,
+    crash_watch: CrashTracker,
     /// Number of process starts of the upstream that this process has seen.
     upstream_starts: u64,
     /// Incarnation in the upstream's latest report.
@@ -141,13 +141,13 @@
             demand: BTreeMap::new(),
             next_permit_request_at: MonoTime::ZERO,
             is_upstream_up: false,
-            upstream_status: UpstreamStanding::default(),
+            upstream_status: UpstreamStatus::default(),
             reports_without_draining: 0,
             host_state: HostState::Live,
             is_stopping: false,
             has_stopped: false,
             is_host_state_confirmed: true,
-            crash_watch: CrashWatch::default(),
+            crash_watch: CrashTracker::default(),
             upstream_starts: 0,
             upstream_incarnation: 0,
             last_event_at: now,
@@ -164,9 +164,9 @@
     ///
     /// let book = OnceBook::new("e1", 5, [7; 32], BookLimits::default(), Duration::ZERO);
     /// let mut machine = AgentMachine::new("e1", 5, AgentRules::default(), book, Duration::ZERO);
-    /// assert!(!machine.book_mut().issue(Duration::ZERO).is_empty());
+    /// assert!(!machine.once_book_mut().issue(Duration::ZERO).is_empty());
     /// ```
-    pub fn book_mut(&mut self) -> &mut OnceBook {
+    pub fn once_book_mut(&mut self) -> &mut OnceBook {
         &mut self.book
     }
 
@@ -187,20 +187,20 @@
     pub fn handle(&mut self, now: MonoTime, event: AgentEvent, out: &mut Vec<AgentAction>) {
         self.detect_suspension(now, out);
         match event {
-            AgentEvent::Arrived(order) => self.receive_attempt(now, order, out),
+            AgentEvent::AttemptReceived(order) => self.receive_attempt(now, order, out),
             AgentEvent::Withdrawn(attempt, incarnation) => {
                 self.withdraw(now, attempt, incarnation, out)
             },
-            AgentEvent::Ended(attempt, end) => self.finish_run(now, attempt, end),
-            AgentEvent::Reported(report) => self.apply_report(now, &report, out),
-            AgentEvent::UpstreamLost => self.record_upstream_loss(now, out),
-            AgentEvent::Said(notice) => self.apply_notice(now, &notice, out),
-            AgentEvent::NamedNoLimit(attempt) => self.record_no_limit(now, attempt),
+            AgentEvent::RunEnded(attempt, end) => self.finish_run(now, attempt, end),
+            AgentEvent::ReportReceived(report) => self.apply_report(now, &report, out),
+            AgentEvent::UpstreamUnreachable => self.record_upstream_loss(now, out),
+            AgentEvent::NoticeReceived(notice) => self.apply_notice(now, &notice, out),
+            AgentEvent::NoLimitAnnounced(attempt) => self.record_no_limit(now, attempt),
             AgentEvent::OrderEnded(fence, end) => self.apply_order_outcome(now, fence, end, out),
             AgentEvent::PermitAnswered(answer) => self.apply_permit_answer(now, answer, out),
-            AgentEvent::BundleTaken(bundle) => self.apply_bundle(now, bundle),
-            AgentEvent::HostSeen(state) => self.apply_host_state(now, state, out),
-            AgentEvent::StopAsked => self.begin_stop(now, out),
+            AgentEvent::BundleActivated(bundle) => self.apply_bundle(now, bundle),
+            AgentEvent::HostStateRead(state) => self.apply_host_state(now, state, out),
+            AgentEvent::StopRequested => self.begin_stop(now, out),
             AgentEvent::Ticked => self.tick(now),
         }
         self.progress(now, out);
@@ -211,7 +211,7 @@
     fn detect_suspension(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         let gap = now.saturating_sub(self.last_event_at);
         self.last_event_at = now;
-        if gap > self.rules.pause_limit {
+        if gap > self.rules.suspension_limit {
             self.is_host_state_confirmed = false;
             out.push(AgentAction::ReadHosts);
         }
@@ -240,7 +240,7 @@
         if !self.is_upstream_up || self.upstream_incarnation != report.incarnation {
             self.record_upstream_exit(now);
             self.upstream_starts += 1;
-            self.upstream_status = UpstreamStanding::default();
+            self.upstream_status = UpstreamStatus::default();
             self.upstream_incarnation = report.incarnation;
         }
         self.is_upstream_up = true;
@@ -275,7 +275,7 @@
         let settle_until = now + self.rules.settle_time;
         let mut engine = match before {
             Some(before) => before.after_restart(report, settle_until),
-            None => EngineState::take_over(report, self.rules.least_term, settle_until),
+            None => EngineState::take_over(report, self.rules.min_term, settle_until),
         };
         if !self.rules.checks_fence {
             engine.claim = ClaimState::Waiting(now + self.rules.order_lifetime);
@@ -289,14 +289,14 @@
         let held = self.bundle.as_ref().map_or(0, |bundle| bundle.version);
         if version > held {
             self.bundle = None;
-            out.push(AgentAction::WitnessBundle(version));
+            out.push(AgentAction::ReportNewerBundle(version));
         }
     }
 
     fn record_upstream_loss(&mut self, now: MonoTime, out: &mut Vec<AgentAction>) {
         self.is_upstream_up = false;
         self.record_upstream_exit(now);
-        let refusal = WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SOON));
+        let refusal = WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SHORT_RETRY_DELAY));
         self.refuse_all(now, refusal, out);
     }
 
@@ -309,7 +309,7 @@
         if let Some(held) = &self.bundle
             && held.services != bundle.services
         {
-            self.book.doubt_keys(now);
+            self.book.mark_keys_uncertain(now);
         }
         self.bundle = Some(bundle);
     }
--- a/quillcove_core/src/agent/orders.rs
+++ b/quillcove_core/src/agent/orders.rs
@@ -36,7 +36,7 @@
         if !engine.is_superseded && self.is_upstream_up {
             let order = engine.next_order(bundle, OrderKind::Claim);
             engine.claim = ClaimState::OrderPending(order.fence);
-            out.push(AgentAction::Send(order));
+            out.push(AgentAction::SendOrder(order));
         }
         false
     }
@@ -205,7 +205,7 @@
     if let Some(plan) = &mut engine.plan {
         plan.stage = PlanStage::OrderPending(order.clone());
     }
-    out.push(AgentAction::Send(order));
+    out.push(AgentAction::SendOrder(order));
 }
 
 fn current_order(engine: &EngineState, fence: OrderFence) -> Option<EngineOrder> {
--- a/quillcove_core/src/agent/running.rs
+++ b/quillcove_core/src/agent/running.rs
@@ -62,7 +62,7 @@
             identity: attempt.order.identity,
         };
         self.running.insert(id, running);
-        out.push(AgentAction::Start(id));
+        out.push(AgentAction::StartAttempt(id));
     }
 
     pub(super) fn capacity(&self) -> usize {
@@ -82,7 +82,7 @@
             return;
         };
         if let Some(once) = &running.once {
-            self.book.settle(now, once, once_state(end));
+            self.book.record_outcome(now, once, once_state(end));
         }
         let mark = match end {
             RunEnd::NotRun => AttemptMark::Refused,
--- a/quillcove_core/src/agent/said.rs
+++ b/quillcove_core/src/agent/said.rs
@@ -6,7 +6,7 @@
 use super::event::{AgentAction, UpstreamKind};
 use crate::ids::MonoTime;
 use crate::standing::notice::UpstreamNotice;
-use crate::standing::{LeavingSource, StandingChange, UpstreamStanding};
+use crate::standing::{LeavingSource, UpstreamStatus, UpstreamStatusChange};
 use crate::verdict::{RefusalReason, WorkRefusal};
 
 /// Consecutive reports without draining after which a plain service that announced draining counts
@@ -29,16 +29,16 @@
     ) {
         // The spread is zero: the agent is the only sender of work to the upstream, so no other
         // sender resumes at the same moment.
-        match self.upstream_status.take(notice, Duration::ZERO, now) {
-            Some(StandingChange::Leaves) => {
+        match self.upstream_status.record_notice(notice, Duration::ZERO, now) {
+            Some(UpstreamStatusChange::Leaves) => {
                 self.reports_without_draining = 0;
                 self.refuse_all_draining(now, out);
             },
-            Some(StandingChange::Rests(until)) => {
+            Some(UpstreamStatusChange::Rests(until)) => {
                 self.refuse_all(now, pause_refusal(until.saturating_sub(now)), out);
             },
             // Attempts whose send slot is too far away are rejected by the next `progress`.
-            Some(StandingChange::Limits(_)) | None => {},
+            Some(UpstreamStatusChange::Limits(_)) | None => {},
         }
     }
 
@@ -61,7 +61,7 @@
         if self.rules.kind == UpstreamKind::Service && self.upstream_status.is_leaving() {
             self.reports_without_draining += 1;
             if self.reports_without_draining >= MIN_REPORTS_WITHOUT_DRAINING {
-                self.upstream_status = UpstreamStanding::default();
+                self.upstream_status = UpstreamStatus::default();
                 self.reports_without_draining = 0;
             }
         }
@@ -78,9 +78,9 @@
     ///
     /// let book = OnceBook::new("e1", 5, [7; 32], BookLimits::default(), Duration::ZERO);
     /// let machine = AgentMachine::new("e1", 5, AgentRules::default(), book, Duration::ZERO);
-    /// assert!(machine.wants_work(Duration::ZERO));
+    /// assert!(machine.accepts_work(Duration::ZERO));
     /// ```
-    pub fn wants_work(&self, now: MonoTime) -> bool {
+    pub fn accepts_work(&self, now: MonoTime) -> bool {
         self.check_upstream_status(now).is_ok()
     }
 
@@ -89,7 +89,7 @@
         if self.upstream_status.is_leaving() {
             return Err(WorkRefusal::not_run(RefusalReason::Leaving, Some(Duration::ZERO)));
         }
-        match self.upstream_status.rest_end(now) {
+        match self.upstream_status.pause_end(now) {
             Some(end) => Err(pause_refusal(end.saturating_sub(now))),
             None => Ok(()),
         }
@@ -110,7 +110,7 @@
         }
         let requested_pause = self
             .upstream_status
-            .rest_end(now)
+            .pause_end(now)
             .map_or(Duration::ZERO, |end| end.saturating_sub(now));
         requested_pause.max(self.send_slot_wait(now, self.wait_queue.len()).min(RECHECK_PAUSE))
     }
--- a/quillcove_core/src/agent/view.rs
+++ b/quillcove_core/src/agent/view.rs
@@ -6,7 +6,7 @@
 use super::event::{HostState, UpstreamKind};
 use super::slots::SlotState;
 use crate::class::WorkClass;
-use crate::entry::event::AgentNews;
+use crate::entry::event::AgentStatus;
 use crate::ids::{BundleVersion, HostId, Incarnation, MonoTime};
 use crate::standing::limit::RateLimit;
 
@@ -156,10 +156,10 @@
     ///
     /// let book = OnceBook::new("e1", 5, [7; 32], BookLimits::default(), Duration::ZERO);
     /// let machine = AgentMachine::new("e1", 5, AgentRules::default(), book, Duration::ZERO);
-    /// assert_eq!(machine.news().incarnation, 5);
+    /// assert_eq!(machine.status().incarnation, 5);
     /// ```
-    pub fn news(&self) -> AgentNews {
-        AgentNews {
+    pub fn status(&self) -> AgentStatus {
+        AgentStatus {
             incarnation: self.incarnation,
             leaving: self.is_leaving(),
             running: self.running.len(),
--- a/quillcove_core/src/bundle/gate.rs
+++ b/quillcove_core/src/bundle/gate.rs
@@ -11,7 +11,7 @@
 
 /// An accepted bundle, with its exact bytes, so that other processes can fetch it from this one.
 #[derive(Clone, Debug)]
-pub struct HeldBundle {
+pub struct AcceptedBundle {
     /// Head of the bundle, with the signature.
     pub head: BundleHead,
     /// Text, byte for byte as signed.
@@ -25,7 +25,7 @@
 pub enum GateError {
     /// The bundle is older than one that was in force here or that an upstream acted on.
     #[error("version {offered} is lower than {floor}, the lowest version accepted")]
-    Lower {
+    BelowFloor {
         /// Version of the rejected bundle.
         offered: BundleVersion,
         /// Lowest version that is accepted.
@@ -52,9 +52,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateChange {
     /// The offered bundle is newer and is now in force.
-    Taken,
+    Accepted,
     /// The offered bundle had been accepted before.
-    Same,
+    Unchanged,
 }
 
 /// Verifies offered bundles and holds the one in force.
@@ -62,7 +62,7 @@
 pub struct BundleGate {
     keys: TrustedKeys,
     /// Last bundle accepted.
-    held: Option<HeldBundle>,
+    held: Option<AcceptedBundle>,
     /// Lowest version that is accepted.
     floor: BundleVersion,
 }
@@ -88,7 +88,7 @@
     /// let gate = BundleGate::new(TrustedKeys::default());
     /// assert!(gate.in_force().is_none());
     /// ```
-    pub fn in_force(&self) -> Option<&HeldBundle> {
+    pub fn in_force(&self) -> Option<&AcceptedBundle> {
         self.held.as_ref().filter(|held| held.head.version >= self.floor)
     }
 
@@ -97,9 +97,9 @@
     /// ```
     /// use quillcove_core::bundle::{gate::BundleGate, signing::TrustedKeys};
     ///
-    /// assert!(BundleGate::new(TrustedKeys::default()).held().is_none());
+    /// assert!(BundleGate::new(TrustedKeys::default()).last_accepted().is_none());
     /// ```
-    pub fn held(&self) -> Option<&HeldBundle> {
+    pub fn last_accepted(&self) -> Option<&AcceptedBundle> {
         self.held.as_ref()
     }
 
@@ -123,10 +123,10 @@
     /// use quillcove_core::bundle::{gate::BundleGate, signing::TrustedKeys};
     ///
     /// let mut gate = BundleGate::new(TrustedKeys::default());
-    /// gate.witness(7);
+    /// gate.record_used_version(7);
     /// assert_eq!(gate.floor(), 7);
     /// ```
-    pub fn witness(&mut self, version: BundleVersion) {
+    pub fn record_used_version(&mut self, version: BundleVersion) {
         self.floor = self.floor.max(version);
     }
 
@@ -151,13 +151,13 @@
         }
         self.keys.verify(head, text.as_bytes())?;
         if head.version < self.floor {
-            return Err(GateError::Lower { offered: head.version, floor: self.floor });
+            return Err(GateError::BelowFloor { offered: head.version, floor: self.floor });
         }
         if let Some(held) = &self.held
             && held.head.version == head.version
         {
             return match held.head.digest == head.digest {
-                true => Ok(GateChange::Same),
+                true => Ok(GateChange::Unchanged),
                 false => Err(GateError::OtherBytes(head.version)),
             };
         }
@@ -166,12 +166,12 @@
             return Err(GateError::HeadMismatch);
         }
         self.floor = head.version;
-        self.held = Some(HeldBundle {
+        self.held = Some(AcceptedBundle {
             head: head.clone(),
             text: Arc::from(text),
             content: Arc::new(content),
         });
-        Ok(GateChange::Taken)
+        Ok(GateChange::Accepted)
     }
 
     /// Rebuilds a bundle from a delta to the last accepted one, and offers it like [`Self::offer`].
--- a/quillcove_core/src/crash/book.rs
+++ b/quillcove_core/src/crash/book.rs
@@ -13,7 +13,7 @@
 
 use super::digest::{CallerDigest, LOAD_CALLER, RequestDigest, RequestIdentity};
 use super::record::{CrashRecord, ExitMark, SuspectWeight};
-use super::telling::{CrashBeacon, EndId, EndReport, EndedRequest};
+use super::telling::{CrashReport, ExitId, ExitReport, InFlightRequest};
 use crate::ids::MonoTime;
 
 /// Replica exits after which a request counts as fatal and is rejected; a requirement of the
@@ -63,33 +63,33 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quillcove_core::crash::book::CrashBook;
+/// use quillcove_core::crash::book::CrashTable;
 /// use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
-/// use quillcove_core::crash::telling::EndedRequest;
+/// use quillcove_core::crash::telling::InFlightRequest;
 ///
 /// let parts = RequestParts { method: "POST", host: "h", path: "/", key: None, body: b"text" };
 /// let fatal = RequestIdentity { digest: parts.digest(), caller: 1 };
 /// let now = Duration::from_secs(5);
-/// let mut book = CrashBook::default();
+/// let mut book = CrashTable::default();
 /// for end in 1..=3 {
 ///     assert!(book.cause(fatal, now).is_none());
-///     let ended = EndedRequest { identity: fatal, has_begun: false, runs_well: false };
+///     let ended = InFlightRequest { identity: fatal, has_begun: false, runs_well: false };
 ///     book.note_end(end, ended, now, now);
 /// }
 /// assert_eq!(book.cause(fatal, now).unwrap().ends, 3);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTable {
     records: HashMap<RequestDigest, CrashRecord>,
     /// Whether an exit during a load was ever recorded.
     has_loads: bool,
 }
 
-impl CrashBook {
+impl CrashTable {
     /// Returns whether there are no crash records.
     ///
     /// ```
-    /// assert!(quillcove_core::crash::book::CrashBook::default().is_empty());
+    /// assert!(quillcove_core::crash::book::CrashTable::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
@@ -99,7 +99,7 @@
     /// reports of engines need not be searched for successful loads.
     ///
     /// ```
-    /// assert!(!quillcove_core::crash::book::CrashBook::default().has_loads());
+    /// assert!(!quillcove_core::crash::book::CrashTable::default().has_loads());
     /// ```
     pub fn has_loads(&self) -> bool {
         self.has_loads && !self.is_empty()
@@ -108,11 +108,11 @@
     /// Returns the counts of the crash records.
     ///
     /// ```
-    /// assert_eq!(quillcove_core::crash::book::CrashBook::default().summary().requests, 0);
+    /// assert_eq!(quillcove_core::crash::book::CrashTable::default().summary().requests, 0);
     /// ```
     pub fn summary(&self) -> CrashSummary {
         let is_fatal = |record: &&CrashRecord| record.weight().exits >= MOST_ENDS;
-        let ends: BTreeSet<EndId> =
+        let ends: BTreeSet<ExitId> =
             self.records.values().flat_map(|record| record.exits_of(None)).collect();
         CrashSummary {
             requests: self.records.len(),
@@ -123,15 +123,15 @@
 
     /// Records that a request was in flight at a replica exit; returns whether this was new.
     ///
-    /// See [`CrashBook`] for an example.
+    /// See [`CrashTable`] for an example.
     pub fn note_end(
         &mut self,
-        exit: EndId,
-        ended: EndedRequest,
+        exit: ExitId,
+        ended: InFlightRequest,
         at: MonoTime,
         now: MonoTime,
     ) -> bool {
-        let EndedRequest { identity, has_begun, runs_well } = ended;
+        let InFlightRequest { identity, has_begun, runs_well } = ended;
         if self.records.len() >= MAX_RECORDS && !self.records.contains_key(&identity.digest) {
             self.evict_weakest();
         }
@@ -146,14 +146,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::crash::book::CrashBook;
+    /// use quillcove_core::crash::book::CrashTable;
     /// use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
     ///
     /// let parts = RequestParts { method: "POST", host: "h", path: "/", key: None, body: b"text" };
     /// let request = RequestIdentity { digest: parts.digest(), caller: 1 };
-    /// assert!(!CrashBook::default().note_good(request, Duration::ZERO));
+    /// assert!(!CrashTable::default().record_success(request, Duration::ZERO));
     /// ```
-    pub fn note_good(&mut self, identity: RequestIdentity, at: MonoTime) -> bool {
+    pub fn record_success(&mut self, identity: RequestIdentity, at: MonoTime) -> bool {
         let record = self.records.get_mut(&identity.digest);
         record.is_some_and(|record| record.clear_caller(identity.caller, at))
     }
@@ -162,13 +162,13 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::crash::book::CrashBook;
-    /// use quillcove_core::crash::telling::CrashBeacon;
+    /// use quillcove_core::crash::book::CrashTable;
+    /// use quillcove_core::crash::telling::CrashReport;
     ///
     /// let now = Duration::from_secs(1);
-    /// assert_eq!(CrashBook::default().take(&CrashBeacon::default(), now), 0);
+    /// assert_eq!(CrashTable::default().take(&CrashReport::default(), now), 0);
     /// ```
-    pub fn take(&mut self, crash_report: &CrashBeacon, now: MonoTime) -> usize {
+    pub fn take(&mut self, crash_report: &CrashReport, now: MonoTime) -> usize {
         let mut new_count = 0;
         for report in &crash_report.ends {
             let at = now.saturating_sub(report.age);
@@ -179,7 +179,7 @@
         }
         for good in &crash_report.good {
             let at = now.saturating_sub(good.age);
-            new_count += usize::from(self.note_good(good.identity, at));
+            new_count += usize::from(self.record_success(good.identity, at));
         }
         new_count
     }
@@ -190,7 +190,7 @@
     /// callers are affected, either the request itself is fatal or its caller's address changes:
     /// then the exits count against all callers, unless the request has succeeded for one of them.
     ///
-    /// See [`CrashBook`] for an example.
+    /// See [`CrashTable`] for an example.
     pub fn cause(&self, identity: RequestIdentity, now: MonoTime) -> Option<CrashCause> {
         let record = self.records.get(&identity.digest)?;
         if record.marks.len() < MOST_ENDS {
@@ -218,7 +218,7 @@
     }
 
     /// Returns the exits of a request at which no request with more exits was in flight.
-    fn blamed_exits(&self, digest: RequestDigest, record: &CrashRecord) -> BTreeSet<EndId> {
+    fn blamed_exits(&self, digest: RequestDigest, record: &CrashRecord) -> BTreeSet<ExitId> {
         let weight = record.weight();
         let mut blamed = record.exits_of(None);
         for (other, stronger) in &self.records {
@@ -239,22 +239,22 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::crash::book::CrashBook;
+    /// use quillcove_core::crash::book::CrashTable;
     /// use quillcove_core::crash::digest::RequestParts;
     ///
     /// let parts = RequestParts { method: "GET", host: "h", path: "/", key: None, body: b"" };
-    /// assert!(CrashBook::default().note_refused(parts.digest(), Duration::ZERO).is_empty());
+    /// assert!(CrashTable::default().note_refused(parts.digest(), Duration::ZERO).is_empty());
     /// ```
-    pub fn note_refused(&mut self, digest: RequestDigest, now: MonoTime) -> CrashBeacon {
+    pub fn note_refused(&mut self, digest: RequestDigest, now: MonoTime) -> CrashReport {
         let Some(record) = self.records.get_mut(&digest) else {
-            return CrashBeacon::default();
+            return CrashReport::default();
         };
         record.seen_at = now;
         if now.saturating_sub(record.reported_at) < FORGET_TIME / 3 {
-            return CrashBeacon::default();
+            return CrashReport::default();
         }
         record.reported_at = now;
-        CrashBeacon { ends: exit_reports(digest, record, now), good: Vec::new() }
+        CrashReport { ends: exit_reports(digest, record, now), good: Vec::new() }
     }
 
     /// Returns the requests with the most exits, as a report for a process that has just started or
@@ -262,11 +262,11 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::crash::book::CrashBook;
+    /// use quillcove_core::crash::book::CrashTable;
     ///
-    /// assert!(CrashBook::default().all(Duration::ZERO).is_empty());
+    /// assert!(CrashTable::default().all(Duration::ZERO).is_empty());
     /// ```
-    pub fn all(&self, now: MonoTime) -> CrashBeacon {
+    pub fn all(&self, now: MonoTime) -> CrashReport {
         let mut known: Vec<(&RequestDigest, &CrashRecord)> =
             self.records.iter().filter(|(_, record)| !record.marks.is_empty()).collect();
         known.sort_by_key(|(digest, record)| {
@@ -274,16 +274,16 @@
         });
         let reports = known.into_iter().take(MAX_REPORTED);
         let reports = reports.flat_map(|(digest, record)| exit_reports(*digest, record, now));
-        CrashBeacon { ends: reports.collect(), good: Vec::new() }
+        CrashReport { ends: reports.collect(), good: Vec::new() }
     }
 
     /// Removes the records of requests that have not been seen for [`FORGET_TIME`].
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::crash::book::CrashBook;
+    /// use quillcove_core::crash::book::CrashTable;
     ///
-    /// CrashBook::default().forget(Duration::from_secs(1));
+    /// CrashTable::default().forget(Duration::from_secs(1));
     /// ```
     pub fn forget(&mut self, now: MonoTime) {
         self.records.retain(|_, record| now.saturating_sub(record.seen_at) < FORGET_TIME);
@@ -302,12 +302,12 @@
     }
 }
 
-fn exit_reports(digest: RequestDigest, record: &CrashRecord, now: MonoTime) -> Vec<EndReport> {
+fn exit_reports(digest: RequestDigest, record: &CrashRecord, now: MonoTime) -> Vec<ExitReport> {
     let report = |mark: &ExitMark| {
         let identity = RequestIdentity { digest, caller: mark.caller };
         let (has_begun, runs_well) = (mark.has_begun, record.runs_well);
-        let ended = EndedRequest { identity, has_begun, runs_well };
-        EndReport { end: mark.exit, age: now.saturating_sub(mark.at), requests: vec![ended] }
+        let ended = InFlightRequest { identity, has_begun, runs_well };
+        ExitReport { end: mark.exit, age: now.saturating_sub(mark.at), requests: vec![ended] }
     };
     record.marks.iter().map(report).collect()
 }
--- a/quillcove_core/src/crash/record.rs
+++ b/quillcove_core/src/crash/record.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::digest::CallerDigest;
-use super::telling::EndId;
+use super::telling::ExitId;
 use crate::ids::MonoTime;
 
 /// Maximum number of marks of one request: many times what makes it fatal, so that requests with
@@ -16,7 +16,7 @@
 /// A replica exit with one caller's request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ExitMark {
-    pub exit: EndId,
+    pub exit: ExitId,
     pub caller: CallerDigest,
     /// Whether bytes of its response had arrived.
     pub has_begun: bool,
@@ -80,7 +80,7 @@
     }
 
     /// Returns the exits at which requests of one caller were in flight, or of all callers.
-    pub fn exits_of(&self, caller: Option<CallerDigest>) -> BTreeSet<EndId> {
+    pub fn exits_of(&self, caller: Option<CallerDigest>) -> BTreeSet<ExitId> {
         let of = |mark: &&ExitMark| caller.is_none_or(|caller| mark.caller == caller);
         self.marks.iter().filter(of).map(|mark| mark.exit).collect()
     }
@@ -105,7 +105,7 @@
         let of = |mark: &&ExitMark| caller.is_none_or(|caller| mark.caller == caller);
         let before_response = self.marks.iter().filter(of).filter(|mark| !mark.has_begun);
         let exits_before_response =
-            before_response.map(|mark| mark.exit).collect::<BTreeSet<EndId>>().len();
+            before_response.map(|mark| mark.exit).collect::<BTreeSet<ExitId>>().len();
         SuspectWeight { exits: self.exits_of(caller).len(), exits_before_response }
     }
 }
--- a/quillcove_core/src/crash/teller.rs
+++ b/quillcove_core/src/crash/teller.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::digest::RequestIdentity;
-use super::telling::{CrashBeacon, EndId, EndReport, EndedRequest, GoodReport};
+use super::telling::{CrashReport, ExitId, ExitReport, InFlightRequest, SuccessReport};
 use crate::ids::MonoTime;
 
 /// How often each update is sent: once at once, and with the next three heartbeats. If 3 % of the
@@ -22,7 +22,7 @@
 /// One update to be sent.
 #[derive(Clone, Copy, Debug)]
 enum CrashUpdate {
-    Exit { end: EndId, ended: EndedRequest },
+    Exit { end: ExitId, ended: InFlightRequest },
     Success(RequestIdentity),
 }
 
@@ -38,33 +38,33 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quillcove_core::crash::teller::CrashTeller;
+/// use quillcove_core::crash::teller::CrashReportQueue;
 ///
-/// assert!(CrashTeller::default().tell(true, Duration::ZERO).is_empty());
+/// assert!(CrashReportQueue::default().tell(true, Duration::ZERO).is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct CrashTeller {
+pub struct CrashReportQueue {
     queue: VecDeque<QueuedUpdate>,
 }
 
-impl CrashTeller {
+impl CrashReportQueue {
     /// Queues the update that a request was in flight at a replica exit.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
-    /// use quillcove_core::crash::teller::CrashTeller;
-    /// use quillcove_core::crash::telling::EndedRequest;
+    /// use quillcove_core::crash::teller::CrashReportQueue;
+    /// use quillcove_core::crash::telling::InFlightRequest;
     ///
     /// let parts = RequestParts { method: "GET", host: "h", path: "/", key: None, body: b"" };
     /// let identity = RequestIdentity { digest: parts.digest(), caller: 1 };
-    /// let mut teller = CrashTeller::default();
-    /// let ended = EndedRequest { identity, has_begun: true, runs_well: false };
+    /// let mut teller = CrashReportQueue::default();
+    /// let ended = InFlightRequest { identity, has_begun: true, runs_well: false };
     /// teller.note_end(7, ended, Duration::ZERO);
     /// assert_eq!(teller.tell(false, Duration::ZERO)[0].ends[0].end, 7);
     /// assert!(teller.tell(false, Duration::ZERO).is_empty());
     /// ```
-    pub fn note_end(&mut self, end: EndId, ended: EndedRequest, at: MonoTime) {
+    pub fn note_end(&mut self, end: ExitId, ended: InFlightRequest, at: MonoTime) {
         self.push(CrashUpdate::Exit { end, ended }, at);
     }
 
@@ -73,15 +73,15 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
-    /// use quillcove_core::crash::teller::CrashTeller;
+    /// use quillcove_core::crash::teller::CrashReportQueue;
     ///
     /// let parts = RequestParts { method: "GET", host: "h", path: "/", key: None, body: b"" };
     /// let identity = RequestIdentity { digest: parts.digest(), caller: 1 };
-    /// let mut teller = CrashTeller::default();
-    /// teller.note_good(identity, Duration::ZERO);
+    /// let mut teller = CrashReportQueue::default();
+    /// teller.record_success(identity, Duration::ZERO);
     /// assert_eq!(teller.tell(false, Duration::ZERO)[0].good.len(), 1);
     /// ```
-    pub fn note_good(&mut self, identity: RequestIdentity, at: MonoTime) {
+    pub fn record_success(&mut self, identity: RequestIdentity, at: MonoTime) {
         self.push(CrashUpdate::Success(identity), at);
     }
 
@@ -95,9 +95,9 @@
     /// Returns the updates to be sent now, in messages that fit into a datagram: those not sent
     /// yet, and with a heartbeat also those to be repeated.
     ///
-    /// See [`CrashTeller::note_end`] for an example.
-    pub fn tell(&mut self, is_heartbeat: bool, now: MonoTime) -> Vec<CrashBeacon> {
-        let mut report = CrashBeacon::default();
+    /// See [`CrashReportQueue::note_end`] for an example.
+    pub fn tell(&mut self, is_heartbeat: bool, now: MonoTime) -> Vec<CrashReport> {
+        let mut report = CrashReport::default();
         for queued in &mut self.queue {
             if queued.sent > 0 && !is_heartbeat {
                 continue;
@@ -110,14 +110,14 @@
     }
 }
 
-fn append_update(report: &mut CrashBeacon, queued: &QueuedUpdate, now: MonoTime) {
+fn append_update(report: &mut CrashReport, queued: &QueuedUpdate, now: MonoTime) {
     let age = now.saturating_sub(queued.at);
     match queued.update {
-        CrashUpdate::Success(identity) => report.good.push(GoodReport { identity, age }),
+        CrashUpdate::Success(identity) => report.good.push(SuccessReport { identity, age }),
         CrashUpdate::Exit { end, ended } => {
             match report.ends.last_mut().filter(|last| last.end == end) {
                 Some(last) => last.requests.push(ended),
-                None => report.ends.push(EndReport { end, age, requests: vec![ended] }),
+                None => report.ends.push(ExitReport { end, age, requests: vec![ended] }),
             }
         },
     }
@@ -127,13 +127,13 @@
 ///
 /// ```
 /// use quillcove_core::crash::teller::in_messages;
-/// use quillcove_core::crash::telling::CrashBeacon;
+/// use quillcove_core::crash::telling::CrashReport;
 ///
-/// assert!(in_messages(CrashBeacon::default()).is_empty());
+/// assert!(in_messages(CrashReport::default()).is_empty());
 /// ```
-pub fn in_messages(report: CrashBeacon) -> Vec<CrashBeacon> {
+pub fn in_messages(report: CrashReport) -> Vec<CrashReport> {
     let mut messages = Vec::new();
-    let mut message = CrashBeacon::default();
+    let mut message = CrashReport::default();
     let mut count = 0;
     for end_report in report.ends {
         for requests in end_report.requests.chunks(MAX_PER_MESSAGE) {
@@ -143,7 +143,7 @@
             }
             count += requests.len();
             let (end, age) = (end_report.end, end_report.age);
-            message.ends.push(EndReport { end, age, requests: requests.to_vec() });
+            message.ends.push(ExitReport { end, age, requests: requests.to_vec() });
         }
     }
     for good in report.good {
--- a/quillcove_core/src/crash/telling.rs
+++ b/quillcove_core/src/crash/telling.rs
@@ -11,18 +11,18 @@
 use crate::relay::beacon::StartTime;
 
 /// Identifies the exit of one run of a replica; equal in all processes that know the replica.
-pub type EndId = u64;
+pub type ExitId = u64;
 
 /// Returns the ID of the exit of the run that started at `born`. A replica that restarts under its
 /// ID may exit again.
 ///
 /// ```
-/// use quillcove_core::crash::telling::end_id;
+/// use quillcove_core::crash::telling::exit_id;
 ///
-/// assert_eq!(end_id("i-1", Some(5)), end_id("i-1", Some(5)));
-/// assert_ne!(end_id("i-1", Some(5)), end_id("i-1", Some(6)));
+/// assert_eq!(exit_id("i-1", Some(5)), exit_id("i-1", Some(5)));
+/// assert_ne!(exit_id("i-1", Some(5)), exit_id("i-1", Some(6)));
 /// ```
-pub fn end_id(replica: &str, born: Option<StartTime>) -> EndId {
+pub fn exit_id(replica: &str, born: Option<StartTime>) -> ExitId {
     let mut hasher = SipHasher13::new();
     replica.hash(&mut hasher);
     born.hash(&mut hasher);
@@ -33,12 +33,12 @@
 /// that has restarted may be known by its earlier run for a while.
 ///
 /// ```
-/// use quillcove_core::crash::telling::{end_id, next_exit_id};
+/// use quillcove_core::crash::telling::{exit_id, next_exit_id};
 ///
-/// let exit = end_id("i-1", None);
+/// let exit = exit_id("i-1", None);
 /// assert_ne!(next_exit_id(exit), exit);
 /// ```
-pub fn next_exit_id(exit: EndId) -> EndId {
+pub fn next_exit_id(exit: ExitId) -> ExitId {
     let mut hasher = SipHasher13::new();
     exit.hash(&mut hasher);
     hasher.finish()
@@ -46,7 +46,7 @@
 
 /// A request that was in flight at a replica exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndedRequest {
+pub struct InFlightRequest {
     /// The request.
     pub identity: RequestIdentity,
     /// Whether bytes of its response had arrived.
@@ -57,18 +57,18 @@
 
 /// A replica exit, with requests that were in flight there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndReport {
+pub struct ExitReport {
     /// The exit.
-    pub end: EndId,
+    pub end: ExitId,
     /// Time since the exit was noticed.
     pub age: Duration,
     /// Requests that were sent to the replica and had no complete response.
-    pub requests: Vec<EndedRequest>,
+    pub requests: Vec<InFlightRequest>,
 }
 
 /// A request that succeeded after it had been in flight at a replica exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GoodReport {
+pub struct SuccessReport {
     /// The request.
     pub identity: RequestIdentity,
     /// Time since it succeeded.
@@ -77,20 +77,20 @@
 
 /// Report of one process to another about replica exits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashBeacon {
+pub struct CrashReport {
     /// Exits.
-    pub ends: Vec<EndReport>,
+    pub ends: Vec<ExitReport>,
     /// Requests cleared by a success.
-    pub good: Vec<GoodReport>,
+    pub good: Vec<SuccessReport>,
 }
 
-impl CrashBeacon {
+impl CrashReport {
     /// Returns whether the report is empty.
     ///
     /// ```
-    /// use quillcove_core::crash::telling::CrashBeacon;
+    /// use quillcove_core::crash::telling::CrashReport;
     ///
-    /// assert!(CrashBeacon::default().is_empty());
+    /// assert!(CrashReport::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty() && self.good.is_empty()
--- a/quillcove_core/src/crash/watch.rs
+++ b/quillcove_core/src/crash/watch.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::book::{CrashBook, CrashCause};
+use super::book::{CrashCause, CrashTable};
 use super::digest::RequestIdentity;
 use super::good::RecentSuccesses;
-use super::teller::CrashTeller;
-use super::telling::{CrashBeacon, EndId, EndedRequest, end_id, next_exit_id};
+use super::teller::CrashReportQueue;
+use super::telling::{CrashReport, ExitId, InFlightRequest, exit_id, next_exit_id};
 use crate::ids::MonoTime;
 use crate::relay::beacon::{ReplicaId, StartTime};
 
@@ -37,14 +37,14 @@
 }
 
 impl ReplicaRun {
-    fn exit_id(&self) -> EndId {
-        end_id(&self.replica, self.born)
+    fn exit_id(&self) -> ExitId {
+        exit_id(&self.replica, self.born)
     }
 }
 
 /// An aborted response.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerBreak {
+pub struct ResponseAbort {
     /// The request.
     pub identity: RequestIdentity,
     /// Whether bytes of the response had arrived.
@@ -58,10 +58,10 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingAbort {
     /// The run of the replica, as this process knows it.
-    run: EndId,
+    run: ExitId,
     /// The exit to which the abort would be attributed: that of the run, or of a later run under
     /// the same name.
-    exit: EndId,
+    exit: ExitId,
     identity: RequestIdentity,
     has_begun: bool,
     at: MonoTime,
@@ -72,47 +72,47 @@
 /// ```
 /// use std::time::Duration;
 /// use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
-/// use quillcove_core::crash::watch::{AnswerBreak, CrashWatch, ReplicaRun};
+/// use quillcove_core::crash::watch::{ResponseAbort, CrashTracker, ReplicaRun};
 ///
 /// let parts = RequestParts { method: "POST", host: "h", path: "/", key: None, body: b"text" };
 /// let request = RequestIdentity { digest: parts.digest(), caller: 1 };
 /// let now = Duration::from_secs(5);
-/// let mut watch = CrashWatch::default();
+/// let mut watch = CrashTracker::default();
 /// for replica in ["i-1", "i-2", "i-3"] {
 ///     let run = ReplicaRun { replica: replica.into(), born: None };
-///     let abort = AnswerBreak { identity: request, has_begun: false, sent_at: now };
-///     watch.note_broken(&run, abort, now);
+///     let abort = ResponseAbort { identity: request, has_begun: false, sent_at: now };
+///     watch.record_abort(&run, abort, now);
 ///     assert!(watch.cause(request, now).is_none());
-///     assert_eq!(watch.confirm_end(&run, now), 1);
+///     assert_eq!(watch.confirm_exit(&run, now), 1);
 /// }
 /// assert!(watch.cause(request, now).is_some());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct CrashWatch {
-    book: CrashBook,
+pub struct CrashTracker {
+    book: CrashTable,
     successes: RecentSuccesses,
-    teller: CrashTeller,
+    teller: CrashReportQueue,
     pending: Vec<PendingAbort>,
     /// Known exits, and when they were noticed.
-    known_exits: BTreeMap<EndId, MonoTime>,
+    known_exits: BTreeMap<ExitId, MonoTime>,
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// Returns the crash records.
     ///
     /// ```
-    /// assert!(quillcove_core::crash::watch::CrashWatch::default().book().is_empty());
+    /// assert!(quillcove_core::crash::watch::CrashTracker::default().book().is_empty());
     /// ```
-    pub fn book(&self) -> &CrashBook {
+    pub fn book(&self) -> &CrashTable {
         &self.book
     }
 
     /// Records that a response was aborted. Returns whether it is the first one pending for that
     /// exit, in which case somebody has to find out whether the replica exited.
     ///
-    /// See [`CrashWatch`] for an example.
-    pub fn note_broken(&mut self, run: &ReplicaRun, abort: AnswerBreak, now: MonoTime) -> bool {
-        let AnswerBreak { identity, has_begun, sent_at } = abort;
+    /// See [`CrashTracker`] for an example.
+    pub fn record_abort(&mut self, run: &ReplicaRun, abort: ResponseAbort, now: MonoTime) -> bool {
+        let ResponseAbort { identity, has_begun, sent_at } = abort;
         let exit = self.exit_after(run.exit_id(), sent_at);
         let pending = PendingAbort { run: run.exit_id(), exit, identity, has_begun, at: now };
         if self.known_exits.contains_key(&pending.exit) {
@@ -129,8 +129,8 @@
 
     /// Records that a replica exit is confirmed; returns the number of responses it aborted.
     ///
-    /// See [`CrashWatch`] for an example.
-    pub fn confirm_end(&mut self, run: &ReplicaRun, now: MonoTime) -> usize {
+    /// See [`CrashTracker`] for an example.
+    pub fn confirm_exit(&mut self, run: &ReplicaRun, now: MonoTime) -> usize {
         let exit = run.exit_id();
         let abort = self.pending.iter().find(|abort| abort.run == exit);
         let exit = abort.map_or(exit, |abort| abort.exit);
@@ -140,7 +140,7 @@
 
     /// Returns the first exit, of the run or of later runs under its name, that was not known when
     /// the request was sent.
-    fn exit_after(&self, run: EndId, sent_at: MonoTime) -> EndId {
+    fn exit_after(&self, run: ExitId, sent_at: MonoTime) -> ExitId {
         let mut exit = run;
         while self.known_exits.get(&exit).is_some_and(|at| sent_at > *at + MATCH_WINDOW) {
             exit = next_exit_id(exit);
@@ -152,12 +152,12 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::crash::watch::{CrashWatch, ReplicaRun};
+    /// use quillcove_core::crash::watch::{CrashTracker, ReplicaRun};
     ///
     /// let run = ReplicaRun { replica: "i-1".into(), born: None };
-    /// CrashWatch::default().deny_end(&run);
+    /// CrashTracker::default().rule_out_exit(&run);
     /// ```
-    pub fn deny_end(&mut self, run: &ReplicaRun) {
+    pub fn rule_out_exit(&mut self, run: &ReplicaRun) {
         let exit = run.exit_id();
         self.pending.retain(|abort| abort.run != exit);
     }
@@ -165,7 +165,7 @@
     /// Counts the pending responses that were aborted by an exit, and returns their number.
     fn count_matching(
         &mut self,
-        exit: EndId,
+        exit: ExitId,
         is_match: impl Fn(&PendingAbort) -> bool,
         now: MonoTime,
     ) -> usize {
@@ -186,7 +186,7 @@
         }
         let runs_well = self.successes.has_succeeded(abort.identity.digest);
         let PendingAbort { exit, identity, has_begun, at, .. } = abort;
-        let ended = EndedRequest { identity, has_begun, runs_well };
+        let ended = InFlightRequest { identity, has_begun, runs_well };
         if self.book.note_end(exit, ended, at, now) {
             self.teller.note_end(exit, ended, at);
         }
@@ -197,16 +197,16 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
-    /// use quillcove_core::crash::watch::CrashWatch;
+    /// use quillcove_core::crash::watch::CrashTracker;
     ///
     /// let parts = RequestParts { method: "POST", host: "h", path: "/", key: None, body: b"text" };
     /// let request = RequestIdentity { digest: parts.digest(), caller: 1 };
-    /// CrashWatch::default().note_good(request, Duration::ZERO);
+    /// CrashTracker::default().record_success(request, Duration::ZERO);
     /// ```
-    pub fn note_good(&mut self, identity: RequestIdentity, now: MonoTime) {
+    pub fn record_success(&mut self, identity: RequestIdentity, now: MonoTime) {
         self.successes.record(identity, now);
-        if self.book.note_good(identity, now) {
-            self.teller.note_good(identity, now);
+        if self.book.record_success(identity, now) {
+            self.teller.record_success(identity, now);
         }
     }
 
@@ -215,19 +215,19 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::crash::digest::load_identity;
-    /// use quillcove_core::crash::watch::CrashWatch;
+    /// use quillcove_core::crash::watch::CrashTracker;
     /// use quillcove_core::relay::beacon::AdapterKey;
     ///
     /// let key = AdapterKey { model: "m".into(), adapter: "a1".into() };
-    /// CrashWatch::default().note_seen_good(load_identity(&key, 1), Duration::ZERO);
+    /// CrashTracker::default().note_seen_good(load_identity(&key, 1), Duration::ZERO);
     /// ```
     pub fn note_seen_good(&mut self, identity: RequestIdentity, now: MonoTime) {
-        self.book.note_good(identity, now);
+        self.book.record_success(identity, now);
     }
 
     /// Returns why a request is to be rejected; `None` if it may run.
     ///
-    /// See [`CrashWatch`] for an example.
+    /// See [`CrashTracker`] for an example.
     pub fn cause(&self, identity: RequestIdentity, now: MonoTime) -> Option<CrashCause> {
         self.book.cause(identity, now)
     }
@@ -237,11 +237,11 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
-    /// use quillcove_core::crash::watch::CrashWatch;
+    /// use quillcove_core::crash::watch::CrashTracker;
     ///
     /// let parts = RequestParts { method: "POST", host: "h", path: "/", key: None, body: b"text" };
     /// let request = RequestIdentity { digest: parts.digest(), caller: 1 };
-    /// CrashWatch::default().note_refused(request, Duration::ZERO);
+    /// CrashTracker::default().note_refused(request, Duration::ZERO);
     /// ```
     pub fn note_refused(&mut self, identity: RequestIdentity, now: MonoTime) {
         for report in self.book.note_refused(identity.digest, now).ends {
@@ -256,13 +256,13 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::crash::telling::CrashBeacon;
-    /// use quillcove_core::crash::watch::CrashWatch;
+    /// use quillcove_core::crash::telling::CrashReport;
+    /// use quillcove_core::crash::watch::CrashTracker;
     ///
     /// let now = Duration::from_secs(1);
-    /// assert_eq!(CrashWatch::default().take(&CrashBeacon::default(), now), 0);
+    /// assert_eq!(CrashTracker::default().apply_report(&CrashReport::default(), now), 0);
     /// ```
-    pub fn take(&mut self, crash_report: &CrashBeacon, now: MonoTime) -> usize {
+    pub fn apply_report(&mut self, crash_report: &CrashReport, now: MonoTime) -> usize {
         for report in &crash_report.ends {
             let at = now.saturating_sub(report.age);
             if report.age < EXIT_LIFETIME {
@@ -279,11 +279,11 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::crash::watch::CrashWatch;
+    /// use quillcove_core::crash::watch::CrashTracker;
     ///
-    /// assert!(CrashWatch::default().tell(true, Duration::ZERO).is_empty());
+    /// assert!(CrashTracker::default().tell(true, Duration::ZERO).is_empty());
     /// ```
-    pub fn tell(&mut self, is_heartbeat: bool, now: MonoTime) -> Vec<CrashBeacon> {
+    pub fn tell(&mut self, is_heartbeat: bool, now: MonoTime) -> Vec<CrashReport> {
         self.teller.tell(is_heartbeat, now)
     }
 
@@ -291,9 +291,9 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::crash::watch::CrashWatch;
+    /// use quillcove_core::crash::watch::CrashTracker;
     ///
-    /// CrashWatch::default().tick(Duration::from_secs(1));
+    /// CrashTracker::default().tick(Duration::from_secs(1));
     /// ```
     pub fn tick(&mut self, now: MonoTime) {
         let is_fresh = |at: MonoTime| now.saturating_sub(at) < EXIT_LIFETIME;
--- a/quillcove_core/src/entry/event.rs
+++ b/quillcove_core/src/entry/event.rs
@@ -10,7 +10,7 @@
 use crate::bundle::FleetBundle;
 use crate::class::WorkClass;
 use crate::crash::digest::RequestIdentity;
-use crate::crash::telling::CrashBeacon;
+use crate::crash::telling::CrashReport;
 use crate::ids::{
     AttemptId, BundleVersion, CallerId, HallName, HostId, Incarnation, ModelName, MonoTime,
     RequestId, ServiceName,
@@ -109,7 +109,7 @@
 
 /// Status that an agent sends with each response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgentNews {
+pub struct AgentStatus {
     /// Incarnation of the agent.
     pub incarnation: Incarnation,
     /// Whether it rejects new work because it is draining.
@@ -123,8 +123,8 @@
     /// Version of the bundle in force at the agent.
     pub bundle: BundleVersion,
     /// Crash records of requests that were running when its upstream exited.
-    #[serde(default, skip_serializing_if = "CrashBeacon::is_empty")]
-    pub crashes: CrashBeacon,
+    #[serde(default, skip_serializing_if = "CrashReport::is_empty")]
+    pub crashes: CrashReport,
     /// Remaining time of the pause requested by its upstream, in milliseconds.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub rest_ms: u64,
@@ -156,15 +156,15 @@
     /// An attempt ended.
     AttemptEnded(AttemptId, AttemptEnd),
     /// The response was passed on completely, or the caller disconnected.
-    Done(RequestId),
+    RequestDone(RequestId),
     /// An agent sent its status.
-    Heard(HostId, AgentNews),
+    StatusReceived(HostId, AgentStatus),
     /// The host list was read, or reading it failed (`None`).
-    HostsSeen(Option<Vec<HostRecord>>),
+    HostsRead(Option<Vec<HostRecord>>),
     /// A verified bundle was received.
-    BundleTaken(Arc<FleetBundle>),
+    BundleActivated(Arc<FleetBundle>),
     /// The process was asked to stop.
-    StopAsked,
+    StopRequested,
     /// Periodic timer tick.
     Ticked,
 }
@@ -191,11 +191,11 @@
     /// Send an attempt to an agent.
     Send(AttemptOrder),
     /// Reject the caller's request.
-    Finish(RequestId, WorkRefusal),
+    Reject(RequestId, WorkRefusal),
     /// Read the host list now, because this process was suspended.
     ReadHosts,
     /// Request the newer bundle that an agent has reported.
-    SeekBundle,
+    RequestBundle,
     /// No request is in flight and the process may exit.
     Stopped,
 }
@@ -241,7 +241,7 @@
     /// Time after an ejection over which an upstream's share of the load increases to its full share.
     pub slow_start: Duration,
     /// Gap between events that counts as a suspension of the process.
-    pub pause_limit: Duration,
+    pub suspension_limit: Duration,
 }
 
 impl Default for EntryRules {
@@ -258,7 +258,7 @@
             eject_time: Duration::from_secs(1),
             eject_floor: 0.5,
             slow_start: Duration::from_secs(10),
-            pause_limit: Duration::from_secs(2),
+            suspension_limit: Duration::from_secs(2),
         }
     }
 }
--- a/quillcove_core/src/entry/fleet.rs
+++ b/quillcove_core/src/entry/fleet.rs
@@ -6,10 +6,10 @@
 
 use serde::Serialize;
 
-use super::event::{AgentNews, EntryRules, HostRecord, RouteTarget};
+use super::event::{AgentStatus, EntryRules, HostRecord, RouteTarget};
 use crate::agent::event::HostState;
 use crate::ids::{HostId, Incarnation, MonoTime};
-use crate::standing::UpstreamStanding;
+use crate::standing::UpstreamStatus;
 use crate::standing::notice::UpstreamNotice;
 
 /// Maximum duration of an ejection.
@@ -30,7 +30,7 @@
     /// Whether the agent has reported that it is draining.
     pub has_reported_draining: bool,
     /// Status of the upstream: pauses that it requested, as reported by its agent.
-    pub status: UpstreamStanding,
+    pub status: UpstreamStatus,
     /// Requests of this entry that are in flight there.
     pub in_flight: usize,
     /// Attempts running there, as last reported by the agent.
@@ -53,7 +53,7 @@
     fn new(record: HostRecord) -> Self {
         Self {
             has_reported_draining: false,
-            status: UpstreamStanding::default(),
+            status: UpstreamStatus::default(),
             record,
             is_listed: true,
             incarnation: 0,
@@ -145,10 +145,10 @@
     /// use quillcove_core::entry::fleet::UpstreamTable;
     ///
     /// let mut table = UpstreamTable::default();
-    /// table.take_hosts(Vec::new());
+    /// table.apply_host_list(Vec::new());
     /// assert_eq!(table.len(), 0);
     /// ```
-    pub fn take_hosts(&mut self, records: Vec<HostRecord>) {
+    pub fn apply_host_list(&mut self, records: Vec<HostRecord>) {
         for upstream in self.upstreams.values_mut() {
             upstream.is_listed = false;
         }
@@ -167,7 +167,7 @@
         if upstream.record.address != record.address {
             upstream.incarnation = 0;
             upstream.has_reported_draining = false;
-            upstream.status = UpstreamStanding::default();
+            upstream.status = UpstreamStatus::default();
         }
         upstream.is_listed = true;
         upstream.record = record;
@@ -177,10 +177,10 @@
     /// incarnation changes, because they belong to one process start of the agent.
     ///
     /// ```
-    /// use quillcove_core::entry::event::AgentNews;
+    /// use quillcove_core::entry::event::AgentStatus;
     /// use quillcove_core::entry::fleet::UpstreamTable;
     ///
-    /// let agent_status = AgentNews {
+    /// let agent_status = AgentStatus {
     ///     incarnation: 5,
     ///     leaving: false,
     ///     running: 0,
@@ -190,20 +190,20 @@
     ///     crashes: Default::default(),
     ///     rest_ms: 0,
     /// };
-    /// UpstreamTable::default().hear("e1", &agent_status, Default::default());
+    /// UpstreamTable::default().record_status("e1", &agent_status, Default::default());
     /// ```
-    pub fn hear(&mut self, host: &str, agent_status: &AgentNews, now: MonoTime) {
+    pub fn record_status(&mut self, host: &str, agent_status: &AgentStatus, now: MonoTime) {
         let Some(upstream) = self.upstreams.get_mut(host) else {
             return;
         };
         if upstream.incarnation != agent_status.incarnation {
             upstream.incarnation = agent_status.incarnation;
             upstream.has_reported_draining = false;
-            upstream.status = UpstreamStanding::default();
+            upstream.status = UpstreamStatus::default();
         }
         upstream.has_reported_draining |= agent_status.leaving;
         let rest = (agent_status.rest_ms > 0).then(|| Duration::from_millis(agent_status.rest_ms));
-        upstream.status.take(
+        upstream.status.record_notice(
             &UpstreamNotice { is_leaving: false, rest, limit: None },
             Duration::ZERO,
             now,
@@ -329,10 +329,10 @@
     /// use quillcove_core::entry::fleet::UpstreamTable;
     ///
     /// let target = RouteTarget::Service("booking".into());
-    /// assert_eq!(UpstreamTable::default().rest_end(&target, Duration::ZERO), None);
+    /// assert_eq!(UpstreamTable::default().earliest_pause_end(&target, Duration::ZERO), None);
     /// ```
-    pub fn rest_end(&self, target: &RouteTarget, now: MonoTime) -> Option<MonoTime> {
-        let ends = self.not_draining(target).map(|upstream| upstream.status.takes_work_from(now));
+    pub fn earliest_pause_end(&self, target: &RouteTarget, now: MonoTime) -> Option<MonoTime> {
+        let ends = self.not_draining(target).map(|upstream| upstream.status.next_request_time(now));
         ends.min().filter(|end| *end > now)
     }
 
@@ -392,6 +392,6 @@
 }
 
 fn remaining_pause_ms(upstream: &UpstreamView, now: MonoTime) -> u64 {
-    let end = upstream.status.rest_end(now);
+    let end = upstream.status.pause_end(now);
     end.map_or(0, |end| end.saturating_sub(now).as_millis() as u64)
 }
--- a/quillcove_core/src/entry/mod.rs
+++ b/quillcove_core/src/entry/mod.rs
@@ -21,10 +21,10 @@
 use self::fleet::{UpstreamSummary, UpstreamTable};
 use self::retry::RetryBudget;
 use crate::bundle::FleetBundle;
-use crate::crash::book::CrashBook;
+use crate::crash::book::CrashTable;
 use crate::ids::{AttemptId, BundleVersion, HostId, MonoTime, RequestId};
 use crate::standing::spread_return;
-use crate::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
+use crate::verdict::{RefusalReason, RunVerdict, SHORT_RETRY_DELAY, WorkRefusal};
 
 /// One request in flight.
 #[derive(Clone, Debug)]
@@ -64,7 +64,7 @@
 ///
 /// let mut machine = EntryMachine::new(EntryRules::default(), 1, Duration::ZERO);
 /// let mut actions = Vec::new();
-/// machine.handle(Duration::ZERO, EntryEvent::StopAsked, &mut actions);
+/// machine.handle(Duration::ZERO, EntryEvent::StopRequested, &mut actions);
 /// assert_eq!(actions, [EntryAction::Stopped]);
 /// ```
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
     attempts: BTreeMap<AttemptId, RequestId>,
     budget: RetryBudget,
     /// Crash records received from agents, used to reject fatal requests.
-    crashes: CrashBook,
+    crashes: CrashTable,
     bundle: Option<Arc<FleetBundle>>,
     /// Highest bundle version that has been requested from agents.
     requested_version: BundleVersion,
@@ -99,7 +99,7 @@
     pub fn new(rules: EntryRules, seed: u64, now: MonoTime) -> Self {
         Self {
             budget: RetryBudget::new(rules.retry_share),
-            crashes: CrashBook::default(),
+            crashes: CrashTable::default(),
             rules,
             fleet: UpstreamTable::default(),
             requests: BTreeMap::new(),
@@ -150,9 +150,9 @@
     /// use quillcove_core::entry::event::EntryRules;
     ///
     /// let machine = EntryMachine::new(EntryRules::default(), 1, Duration::ZERO);
-    /// assert_eq!(machine.control_of("e1"), None);
+    /// assert_eq!(machine.control_address("e1"), None);
     /// ```
-    pub fn control_of(&self, host: &str) -> Option<String> {
+    pub fn control_address(&self, host: &str) -> Option<String> {
         self.fleet.get(host).map(|upstream| upstream.record.control.clone())
     }
 
@@ -193,15 +193,15 @@
         match event {
             EntryEvent::Admitted(query) => self.admit(now, query, out),
             EntryEvent::AttemptEnded(attempt, end) => self.end_attempt(now, attempt, end, out),
-            EntryEvent::Done(request) => self.remove_request(request),
-            EntryEvent::Heard(host, agent_status) => {
-                self.fleet.hear(&host, &agent_status, now);
+            EntryEvent::RequestDone(request) => self.remove_request(request),
+            EntryEvent::StatusReceived(host, agent_status) => {
+                self.fleet.record_status(&host, &agent_status, now);
                 self.crashes.take(&agent_status.crashes, now);
                 self.request_newer_bundle(agent_status.bundle, out);
             },
-            EntryEvent::HostsSeen(records) => self.apply_host_list(now, records, out),
-            EntryEvent::BundleTaken(bundle) => self.apply_bundle(bundle),
-            EntryEvent::StopAsked => self.is_stopping = true,
+            EntryEvent::HostsRead(records) => self.apply_host_list(now, records, out),
+            EntryEvent::BundleActivated(bundle) => self.apply_bundle(bundle),
+            EntryEvent::StopRequested => self.is_stopping = true,
             EntryEvent::Ticked => {
                 self.crashes.forget(now);
                 self.send_due(now, out);
@@ -218,7 +218,7 @@
     fn detect_suspension(&mut self, now: MonoTime, out: &mut Vec<EntryAction>) {
         let gap = now.saturating_sub(self.last_event);
         self.last_event = now;
-        if gap > self.rules.pause_limit {
+        if gap > self.rules.suspension_limit {
             self.is_host_list_current = false;
             out.push(EntryAction::ReadHosts);
         }
@@ -227,10 +227,10 @@
     fn admit(&mut self, now: MonoTime, query: RouteQuery, out: &mut Vec<EntryAction>) {
         let request = query.request;
         if let Err(refusal) = self.check_admission(now, &query) {
-            out.push(EntryAction::Finish(request, refusal));
+            out.push(EntryAction::Reject(request, refusal));
             return;
         }
-        self.budget.note_first();
+        self.budget.record_first_attempt();
         let open = OpenRequest {
             query,
             tried: Vec::new(),
@@ -313,8 +313,8 @@
     /// rejected at the same time do not all return at once.
     fn no_upstream_refusal(&mut self, now: MonoTime, request: RequestId) -> WorkRefusal {
         let target = self.requests.get(&request).map(|open| &open.query.target);
-        let Some(end) = target.and_then(|target| self.fleet.rest_end(target, now)) else {
-            return WorkRefusal::not_run(RefusalReason::NoUpstream, Some(SOON));
+        let Some(end) = target.and_then(|target| self.fleet.earliest_pause_end(target, now)) else {
+            return WorkRefusal::not_run(RefusalReason::NoUpstream, Some(SHORT_RETRY_DELAY));
         };
         let left = spread_return(end.saturating_sub(now), self.draw());
         WorkRefusal::not_run(RefusalReason::Overloaded, Some(left))
@@ -355,7 +355,8 @@
             },
             AttemptEnd::Unreachable => {
                 self.fleet.record_failure(&host, now, &self.rules);
-                let refusal = WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SOON));
+                let refusal =
+                    WorkRefusal::not_run(RefusalReason::UpstreamDown, Some(SHORT_RETRY_DELAY));
                 self.handle_refusal(now, request, &host, refusal, out);
             },
             AttemptEnd::Lost => {
@@ -399,7 +400,7 @@
         let is_owner_bound = matches!(open.query.target, event::RouteTarget::Owner(_));
         let limit = open.query.attempt_limit.unwrap_or(u32::MAX).min(self.rules.attempt_limit);
         let is_within = open.attempts < limit && !is_owner_bound;
-        if !may_repeat || !is_within || !self.budget.take() {
+        if !may_repeat || !is_within || !self.budget.try_take() {
             self.finish(request, combined, out);
             return;
         }
@@ -438,7 +439,7 @@
 
     fn finish(&mut self, request: RequestId, refusal: WorkRefusal, out: &mut Vec<EntryAction>) {
         self.remove_request(request);
-        out.push(EntryAction::Finish(request, refusal));
+        out.push(EntryAction::Reject(request, refusal));
     }
 
     fn remove_request(&mut self, request: RequestId) {
@@ -458,7 +459,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         if let Some(records) = records {
-            self.fleet.take_hosts(records);
+            self.fleet.apply_host_list(records);
         }
         self.is_host_list_current = true;
         self.send_due(now, out);
@@ -470,7 +471,7 @@
         let held = self.bundle.as_ref().map_or(0, |held| held.version);
         if version > held.max(self.requested_version) {
             self.requested_version = version;
-            out.push(EntryAction::SeekBundle);
+            out.push(EntryAction::RequestBundle);
         }
     }
 
--- a/quillcove_core/src/entry/retry.rs
+++ b/quillcove_core/src/entry/retry.rs
@@ -14,11 +14,11 @@
 /// use quillcove_core::entry::retry::RetryBudget;
 ///
 /// let mut budget = RetryBudget::new(0.5);
-/// while budget.take() {}
-/// budget.note_first();
-/// assert!(!budget.take());
-/// budget.note_first();
-/// assert!(budget.take());
+/// while budget.try_take() {}
+/// budget.record_first_attempt();
+/// assert!(!budget.try_take());
+/// budget.record_first_attempt();
+/// assert!(budget.try_take());
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
@@ -47,7 +47,7 @@
     /// assert_eq!(RetryBudget::with_capacity(0.2, 3.0).left(), 3.0);
     /// ```
     pub fn with_capacity(share: f64, capacity: f64) -> Self {
-        Self::starting_with(share, capacity, capacity)
+        Self::with_initial_retries(share, capacity, capacity)
     }
 
     /// Creates a budget with the given capacity that starts with `left` retries.
@@ -55,9 +55,9 @@
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
     ///
-    /// assert_eq!(RetryBudget::starting_with(0.2, 3.0, 1.0).left(), 1.0);
+    /// assert_eq!(RetryBudget::with_initial_retries(0.2, 3.0, 1.0).left(), 1.0);
     /// ```
-    pub fn starting_with(share: f64, capacity: f64, left: f64) -> Self {
+    pub fn with_initial_retries(share: f64, capacity: f64, left: f64) -> Self {
         Self { share, capacity, left }
     }
 
@@ -81,9 +81,9 @@
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
     ///
-    /// RetryBudget::new(0.2).note_first();
+    /// RetryBudget::new(0.2).record_first_attempt();
     /// ```
-    pub fn note_first(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.left = (self.left + self.share).min(self.capacity);
     }
 
@@ -92,10 +92,10 @@
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
     ///
-    /// assert!(RetryBudget::new(0.2).take());
+    /// assert!(RetryBudget::new(0.2).try_take());
     /// ```
-    pub fn take(&mut self) -> bool {
-        if !self.allows() {
+    pub fn try_take(&mut self) -> bool {
+        if !self.has_retry() {
             return false;
         }
         self.left -= 1.0;
@@ -107,9 +107,9 @@
     /// ```
     /// use quillcove_core::entry::retry::RetryBudget;
     ///
-    /// assert!(RetryBudget::new(0.2).allows());
+    /// assert!(RetryBudget::new(0.2).has_retry());
     /// ```
-    pub fn allows(&self) -> bool {
+    pub fn has_retry(&self) -> bool {
         self.left + ROUNDING_TOLERANCE >= 1.0
     }
 
--- a/quillcove_core/src/once/book.rs
+++ b/quillcove_core/src/once/book.rs
@@ -7,7 +7,7 @@
 
 use super::ticket::{RunTicket, TicketSecret};
 use crate::ids::{CallerId, HostId, Incarnation, MonoTime};
-use crate::verdict::{RefusalReason, RunVerdict, SOON, WorkRefusal};
+use crate::verdict::{RefusalReason, RunVerdict, SHORT_RETRY_DELAY, WorkRefusal};
 
 /// Identifies a run that must happen at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -143,10 +143,10 @@
     ///
     /// let mut book = OnceBook::new("b1", 5, [7; 32], BookLimits::default(), Duration::ZERO);
     /// let later = BookLimits::default().key_lifetime;
-    /// book.doubt_keys(later);
+    /// book.mark_keys_uncertain(later);
     /// assert!(book.claim(later, &OnceClaim::Key("app".into(), "k".into())).is_err());
     /// ```
-    pub fn doubt_keys(&mut self, now: MonoTime) {
+    pub fn mark_keys_uncertain(&mut self, now: MonoTime) {
         self.keys_certain_from = now + self.limits.key_lifetime;
     }
 
@@ -232,10 +232,10 @@
     /// let mut book = OnceBook::new("b1", 5, [7; 32], BookLimits::default(), Duration::ZERO);
     /// let ticket = OnceClaim::Ticket(book.issue(Duration::ZERO));
     /// let key = book.claim(Duration::ZERO, &ticket).unwrap();
-    /// book.settle(Duration::ZERO, &key, None);
+    /// book.record_outcome(Duration::ZERO, &key, None);
     /// assert!(book.claim(Duration::ZERO, &ticket).is_ok());
     /// ```
-    pub fn settle(&mut self, now: MonoTime, key: &OnceKey, state: Option<OnceState>) {
+    pub fn record_outcome(&mut self, now: MonoTime, key: &OnceKey, state: Option<OnceState>) {
         let Some(run) = self.runs.remove(key) else {
             return;
         };
@@ -259,9 +259,13 @@
     ///
     /// let mut book = OnceBook::new("b1", 5, [7; 32], BookLimits::default(), Duration::ZERO);
     /// let ticket = book.issue(Duration::ZERO);
-    /// assert_eq!(book.state_of(Duration::ZERO, &ticket), Ok(None));
+    /// assert_eq!(book.ticket_run_state(Duration::ZERO, &ticket), Ok(None));
     /// ```
-    pub fn state_of(&self, now: MonoTime, text: &str) -> Result<Option<OnceState>, WorkRefusal> {
+    pub fn ticket_run_state(
+        &self,
+        now: MonoTime,
+        text: &str,
+    ) -> Result<Option<OnceState>, WorkRefusal> {
         let ticket = self.verify_ticket(now, text)?;
         Ok(self.runs.get(&OnceKey::Serial(ticket.serial)).map(|run| run.state))
     }
@@ -301,7 +305,7 @@
         OnceState::Underway | OnceState::Uncertain => RunVerdict::MayHaveRun,
     };
     let retry_after = match state {
-        OnceState::Underway => Some(SOON),
+        OnceState::Underway => Some(SHORT_RETRY_DELAY),
         OnceState::Ran(_) | OnceState::Uncertain => None,
     };
     WorkRefusal { reason: RefusalReason::AlreadyUsed, verdict, retry_after }
--- a/quillcove_core/src/once/ticket.rs
+++ b/quillcove_core/src/once/ticket.rs
@@ -75,9 +75,9 @@
     /// ```
     /// use quillcove_core::once::ticket::RunTicket;
     ///
-    /// assert_eq!(RunTicket::peek("b1~5~1~ea60~00").unwrap().owner, "b1");
+    /// assert_eq!(RunTicket::decode_unverified("b1~5~1~ea60~00").unwrap().owner, "b1");
     /// ```
-    pub fn peek(text: &str) -> Option<Self> {
+    pub fn decode_unverified(text: &str) -> Option<Self> {
         let (fields, _) = text.rsplit_once(FIELD_MARK)?;
         Self::read_fields(fields)
     }
--- a/quillcove_core/src/permit.rs
+++ b/quillcove_core/src/permit.rs
@@ -13,7 +13,7 @@
 use crate::ids::{HostId, MonoTime};
 
 /// Rendezvous hashing key that chooses the agent which grants permits at a site.
-pub const KEEPER_KEY: &str = "load-permits";
+pub const PERMIT_ISSUER_KEY: &str = "load-permits";
 
 /// Minimum interval between two requests of a waiting agent.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
@@ -32,16 +32,16 @@
 
 /// Request of an agent for a permit to load an adapter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// Host of the agent.
     pub host: HostId,
     /// Value of the load; higher values are granted first.
     pub value: f64,
 }
 
-/// Response to a [`PermitAsk`].
+/// Response to a [`PermitRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum PermitAnswer {
+pub enum PermitResponse {
     /// The agent may start one load.
     Granted,
     /// The agent is to repeat the request after this time.
@@ -50,7 +50,7 @@
 
 /// Grants permits in order of value, within a rate and a concurrency limit.
 #[derive(Debug)]
-pub struct PermitKeeper {
+pub struct PermitIssuer {
     limits: LoadLimits,
     allowance: f64,
     refilled: MonoTime,
@@ -58,17 +58,17 @@
     granted: BTreeMap<HostId, MonoTime>,
 }
 
-impl PermitKeeper {
+impl PermitIssuer {
     /// Creates an instance with a full allowance and no permits granted.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::{PermitAnswer, PermitAsk, PermitKeeper};
+    /// use quillcove_core::permit::{PermitResponse, PermitRequest, PermitIssuer};
     ///
-    /// let mut permits = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
-    /// let ask = PermitAsk { host: "e1".into(), value: 1.0 };
-    /// assert_eq!(permits.ask(Duration::ZERO, &ask), PermitAnswer::Granted);
+    /// let mut permits = PermitIssuer::new(LoadLimits::default(), Duration::ZERO);
+    /// let ask = PermitRequest { host: "e1".into(), value: 1.0 };
+    /// assert_eq!(permits.request_permit(Duration::ZERO, &ask), PermitResponse::Granted);
     /// ```
     pub fn new(limits: LoadLimits, now: MonoTime) -> Self {
         Self {
@@ -85,9 +85,9 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::PermitKeeper;
+    /// use quillcove_core::permit::PermitIssuer;
     ///
-    /// let mut permits = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
+    /// let mut permits = PermitIssuer::new(LoadLimits::default(), Duration::ZERO);
     /// permits.set_limits(LoadLimits { per_second: 1.0, at_once: 1 });
     /// ```
     pub fn set_limits(&mut self, limits: LoadLimits) {
@@ -100,15 +100,15 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::{PermitAnswer, PermitAsk, PermitKeeper};
+    /// use quillcove_core::permit::{PermitResponse, PermitRequest, PermitIssuer};
     ///
     /// let limits = LoadLimits { per_second: 1.0, at_once: 1 };
-    /// let mut permits = PermitKeeper::new(limits, Duration::ZERO);
-    /// permits.ask(Duration::ZERO, &PermitAsk { host: "e1".into(), value: 1.0 });
-    /// let answer = permits.ask(Duration::ZERO, &PermitAsk { host: "e2".into(), value: 9.0 });
-    /// assert!(matches!(answer, PermitAnswer::Wait(_)));
+    /// let mut permits = PermitIssuer::new(limits, Duration::ZERO);
+    /// permits.request_permit(Duration::ZERO, &PermitRequest { host: "e1".into(), value: 1.0 });
+    /// let answer = permits.request_permit(Duration::ZERO, &PermitRequest { host: "e2".into(), value: 9.0 });
+    /// assert!(matches!(answer, PermitResponse::Wait(_)));
     /// ```
-    pub fn ask(&mut self, now: MonoTime, ask: &PermitAsk) -> PermitAnswer {
+    pub fn request_permit(&mut self, now: MonoTime, ask: &PermitRequest) -> PermitResponse {
         self.refill(now);
         let lifetime = self.request_interval() * REQUEST_LIFETIME_INTERVALS;
         self.requests.retain(|_, (_, received)| now.saturating_sub(*received) < lifetime);
@@ -117,12 +117,12 @@
         self.requests.insert(ask.host.clone(), (ask.value, now));
         let ahead = self.requests.values().filter(|(value, _)| *value > ask.value).count();
         if ahead >= self.free_permits() {
-            return PermitAnswer::Wait(self.request_interval());
+            return PermitResponse::Wait(self.request_interval());
         }
         self.allowance -= 1.0;
         self.requests.remove(&ask.host);
         self.granted.insert(ask.host.clone(), now);
-        PermitAnswer::Granted
+        PermitResponse::Granted
     }
 
     /// Releases the permit of an agent after its load has ended.
@@ -130,13 +130,13 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::PermitKeeper;
+    /// use quillcove_core::permit::PermitIssuer;
     ///
-    /// let mut permits = PermitKeeper::new(LoadLimits::default(), Duration::ZERO);
-    /// permits.give_back("e1");
+    /// let mut permits = PermitIssuer::new(LoadLimits::default(), Duration::ZERO);
+    /// permits.release_permit("e1");
     /// assert_eq!(permits.permit_count(), 0);
     /// ```
-    pub fn give_back(&mut self, host: &str) {
+    pub fn release_permit(&mut self, host: &str) {
         self.granted.remove(host);
         self.requests.remove(host);
     }
@@ -147,11 +147,11 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::PermitKeeper;
+    /// use quillcove_core::permit::PermitIssuer;
     ///
-    /// assert!(!PermitKeeper::new(LoadLimits::default(), Duration::ZERO).is_crowded());
+    /// assert!(!PermitIssuer::new(LoadLimits::default(), Duration::ZERO).is_saturated());
     /// ```
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         self.requests.len() as f64 > MAX_REQUEST_RATE
     }
 
@@ -160,9 +160,9 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::PermitKeeper;
+    /// use quillcove_core::permit::PermitIssuer;
     ///
-    /// assert_eq!(PermitKeeper::new(LoadLimits::default(), Duration::ZERO).permit_count(), 0);
+    /// assert_eq!(PermitIssuer::new(LoadLimits::default(), Duration::ZERO).permit_count(), 0);
     /// ```
     pub fn permit_count(&self) -> usize {
         self.granted.len()
--- a/quillcove_core/src/relay/beacon.rs
+++ b/quillcove_core/src/relay/beacon.rs
@@ -5,11 +5,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::change_word::ChangeBeacon;
-use super::knowledge::{ProofWord, StoreWord};
-use super::sheet::SheetVersion;
-use crate::access::spending::SpendBeacon;
-use crate::crash::telling::{CrashAsk, CrashBeacon};
+use super::change_word::StoreChangeMessage;
+use super::knowledge::{FreshnessProof, StoreSummary};
+use super::sheet::ConfigVersion;
+use crate::access::spending::UsageReport;
+use crate::crash::telling::{CrashAsk, CrashReport};
 use crate::ids::{AdapterName, AdapterVersion, HallName, HostId, ModelName};
 use crate::standing::limit::RateLimit;
 
@@ -97,7 +97,7 @@
 
 /// Full heartbeat of a loader, with the report of its engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineBeacon {
+pub struct EngineHeartbeat {
     /// Host on which loader and engine run.
     pub host: HostId,
     /// Address at which the engine serves requests.
@@ -136,23 +136,23 @@
     pub waiting: u32,
     /// Whether an order is under way during which the engine accepts no other.
     pub is_busy: bool,
-    /// Number of adapters that the engine can load now, as in [`EngineBeacon::spare_places`].
+    /// Number of adapters that the engine can load now, as in [`EngineHeartbeat::spare_places`].
     pub spare_places: Option<u32>,
-    /// Requests in flight for each adapter, as in [`EngineBeacon::uses`].
+    /// Requests in flight for each adapter, as in [`EngineHeartbeat::uses`].
     pub uses: Vec<u32>,
 }
 
 /// Short heartbeat of a loader whose engine has the same models and adapters as in the last full
 /// heartbeat. It takes about a fifth of the bytes of a full one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GaugeBeacon {
+pub struct GaugeHeartbeat {
     /// Address at which the engine serves requests.
     pub engine: SocketAddr,
     /// Sequence number, shared with the full heartbeats of the loader process.
     pub number: u64,
     /// Random number that the loader process draws at its start.
     pub incarnation: u64,
-    /// Content to which the gauges belong, as in [`EngineBeacon::content`].
+    /// Content to which the gauges belong, as in [`EngineHeartbeat::content`].
     pub content: u64,
     /// Current values.
     pub gauges: EngineGauges,
@@ -160,14 +160,14 @@
 
 /// A relay's request for a full heartbeat, sent when it lacks the report to which gauges belong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ResendAsk {
+pub struct ResendRequest {
     /// Address to which the heartbeat is to be sent.
     pub relay: SocketAddr,
 }
 
 /// Heartbeat of a relay to the other relays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RelayBeacon {
+pub struct RelayHeartbeat {
     /// Host on which the relay runs.
     pub host: HostId,
     /// Hall of that host.
@@ -175,9 +175,9 @@
     /// Address at which it receives messages of other processes.
     pub address: SocketAddr,
     /// Configuration version in force at the relay.
-    pub sheet: SheetVersion,
+    pub sheet: ConfigVersion,
     /// Its state summary: up to where it knows the store.
-    pub word: StoreWord,
+    pub word: StoreSummary,
     /// Number of adapters that its requests are missing, including those with an open load request.
     pub lacking: u32,
     /// Time until its next heartbeat to the receiver.
@@ -190,7 +190,7 @@
 
 /// Rate limit announced by a replica, as one relay knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitWord {
+pub struct AnnouncedLimit {
     /// The replica.
     pub replica: ReplicaId,
     /// Start time of its process, if the replica reports it.
@@ -203,9 +203,9 @@
 
 /// Rate limits of replicas, sent from a relay to other relays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitBeacon {
+pub struct LimitUpdate {
     /// One entry per replica.
-    pub words: Vec<LimitWord>,
+    pub words: Vec<AnnouncedLimit>,
 }
 
 /// Summary of the other relays, by which a relay's share of the weight store is computed.
@@ -232,7 +232,7 @@
 
 /// Heartbeat of a relay to a loader, with the relay's use of the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseBeacon {
+pub struct UseHeartbeat {
     /// Address to which the loader's heartbeats are to be sent.
     pub relay: SocketAddr,
     /// Adapters of the loader's engine that the relay uses.
@@ -241,7 +241,7 @@
 
 /// Load request of a relay to a loader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadAsk {
+pub struct LoadRequest {
     /// Id of the engine in the platform's listing.
     pub replica: ReplicaId,
     /// Base model to load, or that of the adapter.
@@ -254,13 +254,13 @@
     pub places: u32,
 }
 
-impl LoadAsk {
+impl LoadRequest {
     /// Returns the requested adapter; `None` for a base model.
     ///
     /// ```
-    /// use quillcove_core::relay::beacon::LoadAsk;
+    /// use quillcove_core::relay::beacon::LoadRequest;
     ///
-    /// let request = LoadAsk {
+    /// let request = LoadRequest {
     ///     replica: "i-1".into(),
     ///     model: "m".into(),
     ///     adapter: None,
@@ -277,48 +277,48 @@
 
 /// A load request with the address of the engine whose loader receives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AddressedAsk {
+pub struct AddressedLoadRequest {
     /// Address of the engine.
     pub engine: SocketAddr,
     /// The load request.
-    pub ask: LoadAsk,
+    pub ask: LoadRequest,
 }
 
 /// A message between two processes of the system.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// From a relay to relays.
-    Relay(RelayBeacon),
+    Relay(RelayHeartbeat),
     /// From a relay to a loader.
-    Use(UseBeacon),
+    Use(UseHeartbeat),
     /// From a loader to relays.
-    Engine(Box<EngineBeacon>),
+    Engine(Box<EngineHeartbeat>),
     /// From a relay to a loader.
-    Load(LoadAsk),
+    Load(LoadRequest),
     /// From a loader to relays.
-    Gauges(GaugeBeacon),
+    Gauges(GaugeHeartbeat),
     /// From a relay to a loader.
-    Resend(ResendAsk),
+    Resend(ResendRequest),
     /// From a relay to relays.
-    Spend(SpendBeacon),
+    Spend(UsageReport),
     /// From a relay to a relay.
-    ProofAsk(ProofAsk),
+    ProofAsk(FreshnessRequest),
     /// From a relay to the relay that sent the [`ProofAsk`].
-    Proof(ProofAnswer),
+    Proof(FreshnessResponse),
     /// From a relay to relays and loaders, and from a loader to relays.
-    Crash(CrashBeacon),
+    Crash(CrashReport),
     /// From a relay to a relay or a loader.
     CrashAsk(CrashAsk),
     /// From a relay to relays.
-    Limit(LimitBeacon),
+    Limit(LimitUpdate),
     /// From a direct reader of the store to the other relays of its hall.
-    Change(ChangeBeacon),
+    Change(StoreChangeMessage),
 }
 
 /// A relay's request to another relay for the age of its freshness proof: the proof that it knows all
 /// that the operator has written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ProofAsk {
+pub struct FreshnessRequest {
     /// Address to which the response is to be sent.
     pub relay: SocketAddr,
     /// Identifies the request, so that the age in the response counts from when the request was sent.
@@ -327,11 +327,11 @@
 
 /// The response to a [`ProofAsk`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ProofAnswer {
+pub struct FreshnessResponse {
     /// Number of the request.
     pub number: u64,
     /// Age of the proof, and the store positions to which it applies.
-    pub word: ProofWord,
+    pub word: FreshnessProof,
 }
 
 /// The kinds of [`PeerMessage`] by which messages and bytes are counted in metrics.
@@ -390,9 +390,9 @@
     /// Returns the kind under which the message is counted.
     ///
     /// ```
-    /// use quillcove_core::relay::beacon::{PeerMessage, PeerMessageKind, ResendAsk};
+    /// use quillcove_core::relay::beacon::{PeerMessage, PeerMessageKind, ResendRequest};
     ///
-    /// let request = ResendAsk { relay: "127.0.0.1:1".parse().unwrap() };
+    /// let request = ResendRequest { relay: "127.0.0.1:1".parse().unwrap() };
     /// assert_eq!(PeerMessage::Resend(request).kind(), PeerMessageKind::Resend);
     /// ```
     pub fn kind(&self) -> PeerMessageKind {
--- a/quillcove_core/src/relay/change_word.rs
+++ b/quillcove_core/src/relay/change_word.rs
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::position::StorePosition;
-use super::published::{LapsedEntry, StoreEvent, StorePart};
-use super::sheet_change::SheetChange;
+use super::published::{ExpiredEntry, StoreEvent, StorePart};
+use super::sheet_change::ConfigChange;
 use crate::ids::StoreEra;
 
 /// Number of changes from which an update is split. They take some 200 bytes each, so that a datagram
@@ -20,27 +20,27 @@
 
 /// A change of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToldEvent {
+pub enum StoreChangeEvent {
     /// A change as the store publishes it.
     Published(StoreEvent),
     /// A new configuration, as the difference to the one before.
-    Sheet(SheetChange),
+    Sheet(ConfigChange),
     /// An entry that expired while the store was unavailable. It is dropped unless it is renewed.
-    Lapsed(LapsedEntry),
+    Lapsed(ExpiredEntry),
 }
 
 /// A change with the store revision at which it was made.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldChange {
+pub struct StoreChange {
     /// Revision of the change.
     pub revision: u64,
     /// The change.
-    pub event: ToldEvent,
+    pub event: StoreChangeEvent,
 }
 
 /// All changes of one part of the store between two revisions that matter to relays.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ChangeBeacon {
+pub struct StoreChangeMessage {
     /// Part of the store.
     pub part: StorePart,
     /// Era of all the changes.
@@ -52,20 +52,20 @@
     /// Time since the changes were known to be complete.
     pub age: Duration,
     /// Changes in the order of their revisions.
-    pub changes: Vec<ToldChange>,
+    pub changes: Vec<StoreChange>,
 }
 
-impl ChangeBeacon {
+impl StoreChangeMessage {
     /// Returns the position after which the changes begin.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::change_word::ChangeBeacon;
+    /// use quillcove_core::relay::change_word::StoreChangeMessage;
     /// use quillcove_core::relay::position::StorePosition;
     /// use quillcove_core::relay::published::StorePart;
     ///
     /// let (part, age) = (StorePart::Operator, Duration::ZERO);
-    /// let update = ChangeBeacon { part, era: 2, after: 3, revision: 5, age, changes: Vec::new() };
+    /// let update = StoreChangeMessage { part, era: 2, after: 3, revision: 5, age, changes: Vec::new() };
     /// assert_eq!(update.begin(), StorePosition { era: 2, revision: 3 });
     /// ```
     pub fn begin(&self) -> StorePosition {
@@ -74,7 +74,7 @@
 
     /// Returns the position up to which the changes are complete.
     ///
-    /// See [`ChangeBeacon::begin`] for an example.
+    /// See [`StoreChangeMessage::begin`] for an example.
     pub fn end(&self) -> StorePosition {
         self.position(self.revision)
     }
@@ -88,14 +88,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::change_word::{ChangeBeacon, ToldChange, ToldEvent};
+    /// use quillcove_core::relay::change_word::{StoreChangeMessage, StoreChange, StoreChangeEvent};
     /// use quillcove_core::relay::published::{StoreEvent, StorePart};
     ///
-    /// let gone = |revision| ToldChange {
+    /// let gone = |revision| StoreChange {
     ///     revision,
-    ///     event: ToldEvent::Published(StoreEvent::ReplicaGone("i".repeat(100))),
+    ///     event: StoreChangeEvent::Published(StoreEvent::ReplicaGone("i".repeat(100))),
     /// };
-    /// let update = ChangeBeacon {
+    /// let update = StoreChangeMessage {
     ///     part: StorePart::Replicas,
     ///     era: 0,
     ///     after: 3,
--- a/quillcove_core/src/relay/demand/mod.rs
+++ b/quillcove_core/src/relay/demand/mod.rs
@@ -17,11 +17,11 @@
 use self::coming::IncomingLoads;
 use self::warm::HostCopies;
 use super::beacon::{
-    AdapterKey, AddressedAsk, ArrivedLoad, HeldAdapter, LoadAsk, OtherRelays, ReplicaId,
+    AdapterKey, AddressedLoadRequest, ArrivedLoad, HeldAdapter, LoadRequest, OtherRelays, ReplicaId,
 };
 use super::limiter::LoadLimiter;
 use super::policy::PlacementRule;
-use super::reading::ReadingNorm;
+use super::reading::PrefillAverages;
 use super::replica::ReplicaView;
 use super::sheet::EngineRecord;
 use crate::ids::{AdapterVersion, MonoTime, ServiceName};
@@ -54,7 +54,7 @@
 
 /// An adapter that a request needs and that too few engines have loaded.
 #[derive(Clone, Debug)]
-pub struct LackedAdapter<'a> {
+pub struct AdapterNeed<'a> {
     /// The adapter.
     pub key: &'a AdapterKey,
     /// Service whose engines should load it.
@@ -98,7 +98,7 @@
 /// A load request that was sent and has not been met yet.
 #[derive(Clone, Debug)]
 struct OpenLoadRequest {
-    addressed: AddressedAsk,
+    addressed: AddressedLoadRequest,
     first_sent: MonoTime,
     last_sent: MonoTime,
     attempts: u32,
@@ -116,7 +116,7 @@
     /// Engines that are the home of a needed adapter, in whichever cell.
     pub homes: Vec<&'a ReplicaView>,
     /// Mean prompt-reading speed and prompt length over the engines of the service.
-    pub norm: ReadingNorm,
+    pub norm: PrefillAverages,
 }
 
 impl<'a> EngineChoice<'a> {
@@ -144,7 +144,7 @@
     open_requests: BTreeMap<AdapterKey, OpenLoadRequest>,
     host_copies: HostCopies,
     incoming_loads: IncomingLoads,
-    outbox: Vec<AddressedAsk>,
+    outbox: Vec<AddressedLoadRequest>,
     limiter: LoadLimiter,
     other_relays: OtherRelays,
 }
@@ -217,7 +217,7 @@
     ///
     /// assert!(AdapterDemand::default().take_outbox().is_empty());
     /// ```
-    pub fn take_outbox(&mut self) -> Vec<AddressedAsk> {
+    pub fn take_outbox(&mut self) -> Vec<AddressedLoadRequest> {
         std::mem::take(&mut self.outbox)
     }
 
@@ -226,9 +226,9 @@
     /// ```
     /// use quillcove_core::relay::demand::AdapterDemand;
     ///
-    /// assert!(!AdapterDemand::default().has_asks());
+    /// assert!(!AdapterDemand::default().has_load_requests());
     /// ```
-    pub fn has_asks(&self) -> bool {
+    pub fn has_load_requests(&self) -> bool {
         !self.outbox.is_empty()
     }
 
@@ -343,11 +343,11 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::relay::beacon::AdapterKey;
-    /// use quillcove_core::relay::demand::{AdapterDemand, LackedAdapter};
+    /// use quillcove_core::relay::demand::{AdapterDemand, AdapterNeed};
     ///
     /// let key = AdapterKey { model: "m".into(), adapter: "a1".into() };
     /// let service = "s".to_string();
-    /// let need = LackedAdapter {
+    /// let need = AdapterNeed {
     ///     key: &key,
     ///     service: &service,
     ///     version: None,
@@ -355,9 +355,9 @@
     ///     holders: 1,
     ///     home: None,
     /// };
-    /// AdapterDemand::default().want(&need, true, Duration::ZERO);
+    /// AdapterDemand::default().record_need(&need, true, Duration::ZERO);
     /// ```
-    pub fn want(&mut self, need: &LackedAdapter<'_>, is_new: bool, now: MonoTime) {
+    pub fn record_need(&mut self, need: &AdapterNeed<'_>, is_new: bool, now: MonoTime) {
         let new_need = || NeededAdapter {
             service: need.service.clone(),
             home: need.home.cloned(),
@@ -533,14 +533,14 @@
         has_copy: bool,
         now: MonoTime,
     ) {
-        let ask = LoadAsk {
+        let ask = LoadRequest {
             replica: view.record.id.clone(),
             model: key.model.clone(),
             adapter: Some(key.adapter.clone()),
             version: self.needed.get(key).and_then(|needed| needed.version),
             places: slots as u32,
         };
-        let addressed = AddressedAsk { engine: view.record.address, ask };
+        let addressed = AddressedLoadRequest { engine: view.record.address, ask };
         let load_time = if has_copy { HOST_COPY_LOAD_TIME } else { self.limiter.load_time() };
         let request = OpenLoadRequest {
             addressed: addressed.clone(),
@@ -573,7 +573,7 @@
         let can_take = |view: &&&ReplicaView| {
             let report = view.report(now);
             let held = view.version_of(key, now);
-            let has_slot = !placement.needs_spare() || self.has_spare_slot(view, now);
+            let has_slot = !placement.needs_free_slot() || self.has_spare_slot(view, now);
             has_slot
                 && report
                     .is_some_and(|report| report.models.contains(&key.model) && !report.is_busy)
--- a/quillcove_core/src/relay/follower.rs
+++ b/quillcove_core/src/relay/follower.rs
@@ -25,7 +25,7 @@
 
 /// Timing of the calls that follow one part of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FollowRules {
+pub struct WatchRules {
     /// Longest time that a watch waits for a change.
     pub watch_time: Duration,
     /// Timeout of a call; for a watch, the time allowed beyond its own wait.
@@ -36,7 +36,7 @@
     pub gather_time: Duration,
 }
 
-impl Default for FollowRules {
+impl Default for WatchRules {
     /// Returns the times of the users' first deployments.
     fn default() -> Self {
         Self {
@@ -48,16 +48,16 @@
     }
 }
 
-impl FollowRules {
+impl WatchRules {
     /// Returns the time that a watch waits for a change. It is short enough that, when a watch is
     /// never answered, its timeout, one backoff and one more failing call still fit into the
     /// contact time.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::follower::FollowRules;
+    /// use quillcove_core::relay::follower::WatchRules;
     ///
-    /// assert_eq!(FollowRules::default().watch_time(), Duration::from_millis(1300));
+    /// assert_eq!(WatchRules::default().watch_time(), Duration::from_millis(1300));
     /// ```
     pub fn watch_time(&self) -> Duration {
         let used = self.timeout * 2 + FIRST_BACKOFF;
@@ -116,20 +116,20 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quillcove_core::relay::follower::{FollowRules, PartFollower, StoreCall};
+/// use quillcove_core::relay::follower::{WatchRules, PartWatcher, StoreCall};
 /// use quillcove_core::relay::position::StorePosition;
 ///
-/// let rules = FollowRules::default();
-/// let mut part = PartFollower::new(rules);
+/// let rules = WatchRules::default();
+/// let mut part = PartWatcher::new(rules);
 /// assert_eq!(part.next_call(), StoreCall::Whole);
-/// part.take_answer(StorePosition::in_first_era(7));
+/// part.record_response(StorePosition::in_first_era(7));
 /// assert_eq!(part.next_call(), StoreCall::Changes { after: StorePosition::in_first_era(7), wait: rules.watch_time() });
-/// part.take_failure();
+/// part.record_failure();
 /// assert_eq!(part.next_call(), StoreCall::Changes { after: StorePosition::in_first_era(7), wait: Duration::ZERO });
 /// ```
 #[derive(Clone, Debug)]
-pub struct PartFollower {
-    rules: FollowRules,
+pub struct PartWatcher {
+    rules: WatchRules,
     /// Position up to which the part is known; `None` when it has to be read whole.
     position: Option<StorePosition>,
     /// Latest era seen, in a response or from another relay.
@@ -138,24 +138,24 @@
     failures: u32,
 }
 
-impl PartFollower {
+impl PartWatcher {
     /// Creates the state for a part that has not been read yet.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher};
     ///
-    /// assert_eq!(PartFollower::new(FollowRules::default()).position(), None);
+    /// assert_eq!(PartWatcher::new(WatchRules::default()).position(), None);
     /// ```
-    pub fn new(rules: FollowRules) -> Self {
+    pub fn new(rules: WatchRules) -> Self {
         Self { rules, position: None, era: StoreEra::default(), failures: 0 }
     }
 
     /// Returns the next call.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower, StoreCall};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher, StoreCall};
     ///
-    /// assert_eq!(PartFollower::new(FollowRules::default()).next_call(), StoreCall::Whole);
+    /// assert_eq!(PartWatcher::new(WatchRules::default()).next_call(), StoreCall::Whole);
     /// ```
     pub fn next_call(&self) -> StoreCall {
         self.next_call_within(Duration::MAX)
@@ -165,11 +165,11 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower, StoreCall};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher, StoreCall};
     /// use quillcove_core::relay::position::StorePosition;
     ///
-    /// let mut part = PartFollower::new(FollowRules::default());
-    /// part.take_answer(StorePosition::in_first_era(7));
+    /// let mut part = PartWatcher::new(WatchRules::default());
+    /// part.record_response(StorePosition::in_first_era(7));
     /// let call = part.next_call_within(Duration::ZERO);
     /// assert_eq!(call, StoreCall::Changes { after: StorePosition::in_first_era(7), wait: Duration::ZERO });
     /// ```
@@ -187,10 +187,10 @@
     /// Returns the timeout of a call.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower, StoreCall};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher, StoreCall};
     ///
-    /// let rules = FollowRules::default();
-    /// assert_eq!(PartFollower::new(rules).limit(StoreCall::Whole), rules.timeout);
+    /// let rules = WatchRules::default();
+    /// assert_eq!(PartWatcher::new(rules).limit(StoreCall::Whole), rules.timeout);
     /// ```
     pub fn limit(&self, call: StoreCall) -> Duration {
         match call {
@@ -202,11 +202,11 @@
     /// Returns the position up to which the part is known; `None` when it has to be read whole.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher};
     /// use quillcove_core::relay::position::StorePosition;
     ///
-    /// let mut part = PartFollower::new(FollowRules::default());
-    /// part.take_answer(StorePosition::in_first_era(7));
+    /// let mut part = PartWatcher::new(WatchRules::default());
+    /// part.record_response(StorePosition::in_first_era(7));
     /// assert_eq!(part.position(), Some(StorePosition::in_first_era(7)));
     /// ```
     pub fn position(&self) -> Option<StorePosition> {
@@ -216,11 +216,11 @@
     /// Returns the latest era seen.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher};
     /// use quillcove_core::relay::position::StorePosition;
     ///
-    /// let mut part = PartFollower::new(FollowRules::default());
-    /// part.know(StorePosition { era: 2, revision: 70 });
+    /// let mut part = PartWatcher::new(WatchRules::default());
+    /// part.advance_to(StorePosition { era: 2, revision: 70 });
     /// assert_eq!((part.era(), part.position()), (2, None));
     /// ```
     pub fn era(&self) -> StoreEra {
@@ -230,9 +230,9 @@
     /// Returns whether the part has been read and the last call succeeded.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher};
     ///
-    /// assert!(!PartFollower::new(FollowRules::default()).is_settled());
+    /// assert!(!PartWatcher::new(WatchRules::default()).is_settled());
     /// ```
     pub fn is_settled(&self) -> bool {
         self.position.is_some() && self.failures == 0
@@ -243,15 +243,15 @@
     /// has not been read yet: that part is still read whole.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher};
     /// use quillcove_core::relay::position::StorePosition;
     ///
-    /// let mut part = PartFollower::new(FollowRules::default());
-    /// part.take_answer(StorePosition::in_first_era(7));
-    /// part.know(StorePosition::in_first_era(9));
+    /// let mut part = PartWatcher::new(WatchRules::default());
+    /// part.record_response(StorePosition::in_first_era(7));
+    /// part.advance_to(StorePosition::in_first_era(9));
     /// assert_eq!(part.position(), Some(StorePosition::in_first_era(9)));
     /// ```
-    pub fn know(&mut self, position: StorePosition) {
+    pub fn advance_to(&mut self, position: StorePosition) {
         self.era = self.era.max(position.era);
         if let Some(known) = &mut self.position {
             *known = position.max(*known);
@@ -262,13 +262,13 @@
     /// call.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher};
     /// use quillcove_core::relay::position::StorePosition;
     ///
-    /// let rules = FollowRules::default();
-    /// assert_eq!(PartFollower::new(rules).take_answer(StorePosition::in_first_era(7)), rules.gather_time);
+    /// let rules = WatchRules::default();
+    /// assert_eq!(PartWatcher::new(rules).record_response(StorePosition::in_first_era(7)), rules.gather_time);
     /// ```
-    pub fn take_answer(&mut self, position: StorePosition) -> Duration {
+    pub fn record_response(&mut self, position: StorePosition) -> Duration {
         self.era = self.era.max(position.era);
         self.position = Some(self.position.map_or(position, |known| known.max(position)));
         self.failures = 0;
@@ -278,12 +278,12 @@
     /// Records a failed call. Returns the backoff until the next call.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher};
     ///
-    /// let mut part = PartFollower::new(FollowRules::default());
-    /// assert!(part.take_failure() < part.take_failure(), "pauses grow");
+    /// let mut part = PartWatcher::new(WatchRules::default());
+    /// assert!(part.record_failure() < part.record_failure(), "pauses grow");
     /// ```
-    pub fn take_failure(&mut self) -> Duration {
+    pub fn record_failure(&mut self) -> Duration {
         let doubled = FIRST_BACKOFF.saturating_mul(2u32.saturating_pow(self.failures));
         self.failures = self.failures.saturating_add(1);
         doubled.min(MAX_BACKOFF)
@@ -293,11 +293,11 @@
     /// reads the whole part.
     ///
     /// ```
-    /// use quillcove_core::relay::follower::{FollowRules, PartFollower, StoreCall};
+    /// use quillcove_core::relay::follower::{WatchRules, PartWatcher, StoreCall};
     /// use quillcove_core::relay::position::StorePosition;
     ///
-    /// let mut part = PartFollower::new(FollowRules::default());
-    /// part.take_answer(StorePosition::in_first_era(7));
+    /// let mut part = PartWatcher::new(WatchRules::default());
+    /// part.record_response(StorePosition::in_first_era(7));
     /// part.forget();
     /// assert_eq!(part.next_call(), StoreCall::Whole);
     /// ```
--- a/quillcove_core/src/relay/keeper.rs
+++ b/quillcove_core/src/relay/keeper.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::beacon::{AddressedAsk, EngineBeacon, EngineReport, LoadAsk, ReplicaId};
+use super::beacon::{AddressedLoadRequest, EngineHeartbeat, EngineReport, LoadRequest, ReplicaId};
 use super::machine::RelayMachine;
 use super::replica::ReplicaView;
 use super::sheet::{EngineRecord, ModelRecord, ServiceRecord};
@@ -27,12 +27,12 @@
 /// Plans and paces the load requests for base models.
 ///
 /// ```
-/// use quillcove_core::relay::keeper::ModelKeeper;
+/// use quillcove_core::relay::keeper::LoadRateCoordinator;
 ///
-/// assert_eq!(ModelKeeper::default().window_count(std::time::Duration::ZERO), 0);
+/// assert_eq!(LoadRateCoordinator::default().window_count(std::time::Duration::ZERO), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct ModelKeeper {
+pub struct LoadRateCoordinator {
     /// Engines with a recent request to load from the weight store; these requests count in the window.
     requested: BTreeMap<ReplicaId, MonoTime>,
     /// Engines with a recent request to load from their host's copy.
@@ -42,16 +42,16 @@
     next_permit: MonoTime,
 }
 
-impl ModelKeeper {
+impl LoadRateCoordinator {
     /// Applies the start times of loads from a loader's report.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::beacon::{EngineBeacon, EngineReport};
-    /// use quillcove_core::relay::keeper::ModelKeeper;
+    /// use quillcove_core::relay::beacon::{EngineHeartbeat, EngineReport};
+    /// use quillcove_core::relay::keeper::LoadRateCoordinator;
     ///
-    /// let mut keeper = ModelKeeper::default();
-    /// let beacon = EngineBeacon {
+    /// let mut keeper = LoadRateCoordinator::default();
+    /// let beacon = EngineHeartbeat {
     ///     host: "e1".into(),
     ///     engine: "127.0.0.1:1".parse().unwrap(),
     ///     number: 1,
@@ -67,7 +67,7 @@
     /// keeper.take_report(&beacon, Duration::from_secs(2));
     /// assert_eq!(keeper.window_count(Duration::from_secs(2)), 1);
     /// ```
-    pub fn take_report(&mut self, beacon: &EngineBeacon, now: MonoTime) {
+    pub fn take_report(&mut self, beacon: &EngineHeartbeat, now: MonoTime) {
         let starts = beacon.model_loads.iter().map(|age| now.saturating_sub(*age)).collect();
         self.load_starts.insert(beacon.engine, starts);
     }
@@ -75,9 +75,9 @@
     /// Returns the number of loads in the window that ends now, requested loads included.
     ///
     /// ```
-    /// use quillcove_core::relay::keeper::ModelKeeper;
+    /// use quillcove_core::relay::keeper::LoadRateCoordinator;
     ///
-    /// assert_eq!(ModelKeeper::default().window_count(std::time::Duration::ZERO), 0);
+    /// assert_eq!(LoadRateCoordinator::default().window_count(std::time::Duration::ZERO), 0);
     /// ```
     pub fn window_count(&self, now: MonoTime) -> usize {
         let is_recent = |start: &&MonoTime| now.saturating_sub(**start) < PERMIT_WINDOW;
@@ -90,18 +90,18 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::keeper::ModelKeeper;
+    /// use quillcove_core::relay::keeper::LoadRateCoordinator;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert!(ModelKeeper::default().plan(&machine, |_| true, Duration::ZERO).is_empty());
+    /// assert!(LoadRateCoordinator::default().plan_requests(&machine, |_| true, Duration::ZERO).is_empty());
     /// ```
-    pub fn plan(
+    pub fn plan_requests(
         &mut self,
         machine: &RelayMachine,
         is_coordinator: impl Fn(&str) -> bool,
         now: MonoTime,
-    ) -> Vec<AddressedAsk> {
+    ) -> Vec<AddressedLoadRequest> {
         self.requested.retain(|_, requested| now.saturating_sub(*requested) < REQUEST_INTERVAL);
         self.requested_locally
             .retain(|_, requested| now.saturating_sub(*requested) < REQUEST_INTERVAL);
@@ -126,7 +126,7 @@
         engine: &EngineRecord,
         is_coordinator: bool,
         now: MonoTime,
-    ) -> Vec<AddressedAsk> {
+    ) -> Vec<AddressedLoadRequest> {
         let mut holders = holder_counts(machine, service, engine, now);
         let mut requests = Vec::new();
         let cells = machine.cell_count(&service.name);
@@ -199,15 +199,19 @@
     passing.min_by_key(|model| holders.get(&model.name).copied().unwrap_or(0))
 }
 
-fn model_request(view: &ReplicaView, engine: &EngineRecord, model: &ModelRecord) -> AddressedAsk {
-    let ask = LoadAsk {
+fn model_request(
+    view: &ReplicaView,
+    engine: &EngineRecord,
+    model: &ModelRecord,
+) -> AddressedLoadRequest {
+    let ask = LoadRequest {
         replica: view.record.id.clone(),
         model: model.name.clone(),
         adapter: None,
         version: None,
         places: engine.places_beside(&model.name) as u32,
     };
-    AddressedAsk { engine: view.record.address, ask }
+    AddressedLoadRequest { engine: view.record.address, ask }
 }
 
 fn lacks_model(report: &EngineReport) -> bool {
--- a/quillcove_core/src/relay/knowledge.rs
+++ b/quillcove_core/src/relay/knowledge.rs
@@ -37,7 +37,7 @@
 
 /// A relay's summary of its knowledge of the store, sent to other relays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreWord {
+pub struct StoreSummary {
     /// Positions up to which the parts are known.
     pub read: ReadPositions,
     /// Positions of the last changes that matter to relays.
@@ -52,17 +52,17 @@
     pub is_up: bool,
 }
 
-impl StoreWord {
+impl StoreSummary {
     /// Returns the position up to which a receiver has to know a part for this summary to contain
     /// nothing new: the later of the last change that matters and the start of the era, since in a
     /// new era much may differ from what was known before.
     ///
     /// ```
-    /// use quillcove_core::relay::knowledge::StoreWord;
+    /// use quillcove_core::relay::knowledge::StoreSummary;
     /// use quillcove_core::relay::position::StorePosition;
     /// use quillcove_core::relay::published::StorePart;
     ///
-    /// let mut summary = StoreWord::default();
+    /// let mut summary = StoreSummary::default();
     /// summary.read.replicas = StorePosition { era: 2, revision: 70 };
     /// summary.changed.replicas = StorePosition { era: 1, revision: 90 };
     /// assert_eq!(summary.news_of(StorePart::Replicas), StorePosition::start_of(2));
@@ -75,7 +75,7 @@
 /// A relay's response to the question how old its freshness proof is: the proof that it knows all
 /// that the operator had written at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ProofWord {
+pub struct FreshnessProof {
     /// Position of the last change that matters.
     pub changed: StorePosition,
     /// Position from which on the sender has followed changes.
@@ -151,7 +151,7 @@
     ///
     /// let mut knowledge = StoreKnowledge::default();
     /// knowledge.note_whole(StorePart::Replicas, StorePosition::in_first_era(7));
-    /// assert_eq!(knowledge.word(true, Duration::ZERO).since.replicas.revision, 7);
+    /// assert_eq!(knowledge.summary(true, Duration::ZERO).since.replicas.revision, 7);
     /// ```
     pub fn note_whole(&mut self, part: StorePart, position: StorePosition) {
         self.since.note(part, position);
@@ -218,19 +218,19 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::relay::position::StorePosition;
-    /// use quillcove_core::relay::knowledge::{ProofWord, StoreKnowledge};
+    /// use quillcove_core::relay::knowledge::{FreshnessProof, StoreKnowledge};
     ///
     /// let (changed, since) = (StorePosition::in_first_era(7), StorePosition::in_first_era(3));
-    /// let proof = ProofWord { changed, since, age: Duration::from_secs(1) };
+    /// let proof = FreshnessProof { changed, since, age: Duration::from_secs(1) };
     /// let mut knowledge = StoreKnowledge::default();
-    /// knowledge.take_proof(&proof, Duration::from_secs(9));
+    /// knowledge.apply_proof(&proof, Duration::from_secs(9));
     /// assert_eq!(knowledge.proved_at(), None);
     /// knowledge.note_read(StorePart::Operator, StorePosition::in_first_era(8), Duration::ZERO);
-    /// knowledge.take_proof(&proof, Duration::from_secs(9));
+    /// knowledge.apply_proof(&proof, Duration::from_secs(9));
     /// assert_eq!(knowledge.proved_at(), Some(Duration::from_secs(8)));
     /// # use quillcove_core::relay::published::StorePart;
     /// ```
-    pub fn take_proof(&mut self, proof: &ProofWord, asked_at: MonoTime) {
+    pub fn apply_proof(&mut self, proof: &FreshnessProof, asked_at: MonoTime) {
         let known = self.read.operator;
         // A relay that has not read anything yet has no state that a proof could apply to.
         if known > StorePosition::default() && proof.changed <= known && proof.since <= known {
@@ -246,9 +246,9 @@
     ///
     /// assert!(StoreKnowledge::default().proof(Duration::ZERO).is_none());
     /// ```
-    pub fn proof(&self, now: MonoTime) -> Option<ProofWord> {
+    pub fn proof(&self, now: MonoTime) -> Option<FreshnessProof> {
         let age = now.saturating_sub(self.proved_at?);
-        Some(ProofWord { changed: self.changed.operator, since: self.since.operator, age })
+        Some(FreshnessProof { changed: self.changed.operator, since: self.since.operator, age })
     }
 
     /// Returns the summary to send to other relays. `is_up` says whether the store answered the
@@ -258,13 +258,13 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::knowledge::StoreKnowledge;
     ///
-    /// assert!(!StoreKnowledge::default().word(false, Duration::ZERO).is_up);
+    /// assert!(!StoreKnowledge::default().summary(false, Duration::ZERO).is_up);
     /// ```
-    pub fn word(&self, is_up: bool, now: MonoTime) -> StoreWord {
+    pub fn summary(&self, is_up: bool, now: MonoTime) -> StoreSummary {
         let age = |known: &PartKnowledge| known.read_at.map(|at| now.saturating_sub(at));
         let ages = PartAges { operator: age(&self.operator), replicas: age(&self.replicas) };
         let Self { read, changed, since, .. } = *self;
-        StoreWord { read, changed, since, ages, is_up }
+        StoreSummary { read, changed, since, ages, is_up }
     }
 
     /// Applies another relay's summary of one part. Returns `false` when that relay knows of a
@@ -274,15 +274,20 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::position::{ReadPositions, StorePosition};
     /// use quillcove_core::relay::published::StorePart;
-    /// use quillcove_core::relay::knowledge::{StoreKnowledge, StoreWord};
+    /// use quillcove_core::relay::knowledge::{StoreKnowledge, StoreSummary};
     ///
     /// let changed = ReadPositions { operator: StorePosition::in_first_era(5), ..ReadPositions::default() };
-    /// let summary = StoreWord { changed, ..StoreWord::default() };
+    /// let summary = StoreSummary { changed, ..StoreSummary::default() };
     /// let mut knowledge = StoreKnowledge::default();
-    /// assert!(!knowledge.take_word(StorePart::Operator, &summary, Duration::ZERO));
-    /// assert!(knowledge.take_word(StorePart::Replicas, &summary, Duration::ZERO));
+    /// assert!(!knowledge.apply_summary(StorePart::Operator, &summary, Duration::ZERO));
+    /// assert!(knowledge.apply_summary(StorePart::Replicas, &summary, Duration::ZERO));
     /// ```
-    pub fn take_word(&mut self, part: StorePart, summary: &StoreWord, now: MonoTime) -> bool {
+    pub fn apply_summary(
+        &mut self,
+        part: StorePart,
+        summary: &StoreSummary,
+        now: MonoTime,
+    ) -> bool {
         let known = self.read.of(part);
         if summary.news_of(part) > known {
             return false;
--- a/quillcove_core/src/relay/loader/mod.rs
+++ b/quillcove_core/src/relay/loader/mod.rs
@@ -11,11 +11,13 @@
 
 pub use self::ordered::BrokenLoad;
 use self::ordered::OrderedLoads;
-use super::beacon::{AdapterKey, ArrivedLoad, EngineReport, HeldAdapter, LoadAsk, UseBeacon};
+use super::beacon::{
+    AdapterKey, ArrivedLoad, EngineReport, HeldAdapter, LoadRequest, UseHeartbeat,
+};
 use super::order::{LoadOrder, OrderBasis, OrderKind, OrderOutcome};
 use crate::demand::DemandMeter;
 use crate::ids::{HostId, MonoTime};
-use crate::standing::UpstreamStanding;
+use crate::standing::UpstreamStatus;
 use crate::standing::notice::UpstreamNotice;
 
 /// Time for which started base-model loads are reported to relays: the window in which they count
@@ -76,8 +78,8 @@
 pub struct LoaderMachine {
     holder: HostId,
     fence: u64,
-    load_requests: VecDeque<(LoadAsk, MonoTime)>,
-    current_order: Option<(LoadOrder, LoadAsk)>,
+    load_requests: VecDeque<(LoadRequest, MonoTime)>,
+    current_order: Option<(LoadOrder, LoadRequest)>,
     /// Start times of recent base-model loads that read from the weight store.
     model_loads: VecDeque<MonoTime>,
     /// Number of adapter slots of the engine, from the last load request.
@@ -97,7 +99,7 @@
     /// Requests in flight for each adapter, by relay, with the time of the relay's report.
     in_flight: HashMap<SocketAddr, (HashMap<AdapterKey, u32>, MonoTime)>,
     /// Status that the engine reports with its responses to orders; only requested pauses count here.
-    upstream_status: UpstreamStanding,
+    upstream_status: UpstreamStatus,
 }
 
 impl LoaderMachine {
@@ -124,7 +126,7 @@
             loaded_before: HashSet::new(),
             loaded_at: HashMap::new(),
             in_flight: HashMap::new(),
-            upstream_status: UpstreamStanding::default(),
+            upstream_status: UpstreamStatus::default(),
         }
     }
 
@@ -132,13 +134,13 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::beacon::UseBeacon;
+    /// use quillcove_core::relay::beacon::UseHeartbeat;
     /// use quillcove_core::relay::loader::LoaderMachine;
     ///
-    /// let heartbeat = UseBeacon { relay: "127.0.0.1:1".parse().unwrap(), uses: Vec::new() };
-    /// LoaderMachine::new("e1".into(), 1).take_uses(heartbeat, Duration::ZERO);
+    /// let heartbeat = UseHeartbeat { relay: "127.0.0.1:1".parse().unwrap(), uses: Vec::new() };
+    /// LoaderMachine::new("e1".into(), 1).record_uses(heartbeat, Duration::ZERO);
     /// ```
-    pub fn take_uses(&mut self, heartbeat: UseBeacon, now: MonoTime) {
+    pub fn record_uses(&mut self, heartbeat: UseHeartbeat, now: MonoTime) {
         for used in heartbeat.uses.iter().filter(|used| used.sent > 0) {
             let meter = self.demand.entry(used.key.clone()).or_default();
             meter.add(now, f64::from(used.sent), DEMAND_HALF_LIFE);
@@ -183,9 +185,9 @@
     /// use quillcove_core::relay::loader::LoaderMachine;
     ///
     /// let mut machine = LoaderMachine::new("e1".into(), 1);
-    /// assert!(!machine.take_report(EngineReport::default(), Duration::ZERO).is_changed);
+    /// assert!(!machine.record_report(EngineReport::default(), Duration::ZERO).is_changed);
     /// ```
-    pub fn take_report(&mut self, mut report: EngineReport, now: MonoTime) -> ReportChange {
+    pub fn record_report(&mut self, mut report: EngineReport, now: MonoTime) -> ReportChange {
         // Draining is final for one process start. Without a start time the report may be that of a
         // new process, so its own flag counts.
         let is_same_start = report.born.is_some() && report.born == self.report.born;
@@ -237,11 +239,11 @@
     ///
     /// let notice = UpstreamNotice { is_leaving: false, rest: Some(Duration::from_secs(1)), limit: None };
     /// let mut machine = LoaderMachine::new("e1".into(), 1);
-    /// machine.note_said(&notice, Duration::ZERO);
+    /// machine.record_notice(&notice, Duration::ZERO);
     /// assert_eq!(machine.next_order(Duration::ZERO), None);
     /// ```
-    pub fn note_said(&mut self, notice: &UpstreamNotice, now: MonoTime) {
-        self.upstream_status.take(notice, Duration::ZERO, now);
+    pub fn record_notice(&mut self, notice: &UpstreamNotice, now: MonoTime) {
+        self.upstream_status.record_notice(notice, Duration::ZERO, now);
     }
 
     /// Clears the state of an engine that has restarted and returns the loads that were under way when
@@ -249,7 +251,7 @@
     fn reset_engine_state(&mut self) -> Vec<BrokenLoad> {
         self.loaded_before.clear();
         self.loaded_at.clear();
-        self.upstream_status = UpstreamStanding::default();
+        self.upstream_status = UpstreamStatus::default();
         self.ordered_loads.take_broken(self.report.born)
     }
 
@@ -258,10 +260,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::beacon::{EngineReport, LoadAsk};
+    /// use quillcove_core::relay::beacon::{EngineReport, LoadRequest};
     /// use quillcove_core::relay::loader::LoaderMachine;
     ///
-    /// let request = LoadAsk {
+    /// let request = LoadRequest {
     ///     replica: "i-1".into(),
     ///     model: "m".into(),
     ///     adapter: Some("a1".into()),
@@ -269,13 +271,13 @@
     ///     places: 4,
     /// };
     /// let mut machine = LoaderMachine::new("e1".into(), 1);
-    /// machine.take_report(EngineReport::default(), Duration::ZERO);
-    /// machine.take_ask(request, Duration::ZERO);
+    /// machine.record_report(EngineReport::default(), Duration::ZERO);
+    /// machine.queue_load_request(request, Duration::ZERO);
     /// assert!(machine.next_order(Duration::ZERO).is_some());
     /// ```
-    pub fn take_ask(&mut self, request: LoadAsk, now: MonoTime) {
+    pub fn queue_load_request(&mut self, request: LoadRequest, now: MonoTime) {
         let is_same =
-            |other: &LoadAsk| other.model == request.model && other.adapter == request.adapter;
+            |other: &LoadRequest| other.model == request.model && other.adapter == request.adapter;
         if self.current_order.as_ref().is_some_and(|(_, current)| is_same(current)) {
             return;
         }
@@ -299,7 +301,7 @@
     /// assert!(LoaderMachine::new("e1".into(), 1).next_order(Duration::ZERO).is_none());
     /// ```
     pub fn next_order(&mut self, now: MonoTime) -> Option<LoadOrder> {
-        let takes_orders = !self.report.is_leaving && self.upstream_status.rest_end(now).is_none();
+        let takes_orders = !self.report.is_leaving && self.upstream_status.pause_end(now).is_none();
         if self.current_order.is_some() || !takes_orders {
             return None;
         }
@@ -341,12 +343,12 @@
 
     /// Returns whether the engine's host has a copy of the base model, so that its load reads nothing
     /// from the weight store and does not count against the load rate.
-    fn is_local(&self, request: &LoadAsk) -> bool {
+    fn is_local(&self, request: &LoadRequest) -> bool {
         self.report.local_models.contains(&request.model)
     }
 
     /// Returns whether the engine has already loaded, or is loading, what is requested.
-    fn is_satisfied(&self, request: &LoadAsk) -> bool {
+    fn is_satisfied(&self, request: &LoadRequest) -> bool {
         let Some(key) = request.key() else {
             return self.report.models.contains(&request.model);
         };
@@ -382,7 +384,7 @@
 
     /// Returns whether the engine can start the requested load, and what has to be evicted for it. A new
     /// version being loaded takes a slot of its own beside the old one.
-    fn capacity_for(&self, request: &LoadAsk, now: MonoTime) -> LoadCapacity {
+    fn capacity_for(&self, request: &LoadRequest, now: MonoTime) -> LoadCapacity {
         if request.adapter.is_none() {
             return match self.report.models.is_empty() && !self.report.is_busy {
                 true => LoadCapacity::Free,
@@ -429,7 +431,7 @@
     /// Builds the order for a load request: the unload of `evicted` if one is given, else the load.
     fn build_order(
         &mut self,
-        request: &LoadAsk,
+        request: &LoadRequest,
         evicted: Option<AdapterKey>,
         basis: OrderBasis,
     ) -> LoadOrder {
@@ -455,7 +457,7 @@
     }
 
     /// Returns the state of the engine on which an order is based, for logs.
-    fn order_basis(&self, request: &LoadAsk, report_age: Duration) -> OrderBasis {
+    fn order_basis(&self, request: &LoadRequest, report_age: Duration) -> OrderBasis {
         OrderBasis {
             report_age,
             held: self.report.adapters.len(),
@@ -472,9 +474,9 @@
     /// use quillcove_core::relay::loader::LoaderMachine;
     /// use quillcove_core::relay::order::OrderOutcome;
     ///
-    /// LoaderMachine::new("e1".into(), 1).end_order(OrderOutcome::Begun, Duration::ZERO);
+    /// LoaderMachine::new("e1".into(), 1).complete_order(OrderOutcome::Begun, Duration::ZERO);
     /// ```
-    pub fn end_order(&mut self, outcome: OrderOutcome, now: MonoTime) {
+    pub fn complete_order(&mut self, outcome: OrderOutcome, now: MonoTime) {
         let Some((order, request)) = self.current_order.take() else {
             return;
         };
--- a/quillcove_core/src/relay/machine/access.rs
+++ b/quillcove_core/src/relay/machine/access.rs
@@ -5,8 +5,8 @@
 use crate::access::key::KeyDigest;
 use crate::access::ledger::LimitLedger;
 use crate::access::limit::{UseCharge, UseClaim};
-use crate::access::right::{RENEWAL_TIME, RightStep};
-use crate::access::spending::SpendBeacon;
+use crate::access::right::{ProofStep, RENEWAL_TIME};
+use crate::access::spending::UsageReport;
 use crate::ids::MonoTime;
 use crate::route::RouteRecord;
 
@@ -25,7 +25,7 @@
     /// use quillcove_core::access::limit::UseClaim;
     /// use quillcove_core::access::workspace::AccessTable;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
-    /// use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+    /// use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
     /// use quillcove_core::route::{RouteKind, RouteRecord};
     ///
     /// let route = RouteRecord {
@@ -42,12 +42,12 @@
     ///     targets: Vec::new(),
     /// };
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert!(machine.let_in(&route, None, UseClaim::default(), Duration::ZERO).is_ok());
-    /// let sheet = RouteSheet::new(1, Vec::new(), Vec::new(), CallerLimits::default());
-    /// machine.take_sheet(sheet.with_access(AccessTable::default()));
-    /// assert!(machine.let_in(&route, None, UseClaim::default(), Duration::ZERO).is_err());
+    /// assert!(machine.authorize(&route, None, UseClaim::default(), Duration::ZERO).is_ok());
+    /// let sheet = PublishedConfig::new(1, Vec::new(), Vec::new(), CallerLimits::default());
+    /// machine.apply_configuration(sheet.with_access(AccessTable::default()));
+    /// assert!(machine.authorize(&route, None, UseClaim::default(), Duration::ZERO).is_err());
     /// ```
-    pub fn let_in(
+    pub fn authorize(
         &mut self,
         route: &RouteRecord,
         key: Option<KeyDigest>,
@@ -85,10 +85,10 @@
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let charge = UseCharge { workspace: "w".into(), cost: 1 };
-    /// RelayMachine::new(RelayRules::default(), 1).give_back(&charge);
+    /// RelayMachine::new(RelayRules::default(), 1).refund(&charge);
     /// ```
-    pub fn give_back(&mut self, charge: &UseCharge) {
-        self.ledger.give_back(charge);
+    pub fn refund(&mut self, charge: &UseCharge) {
+        self.ledger.refund(charge);
     }
 
     /// Returns the usage accounts of workspaces as this relay knows them.
@@ -117,19 +117,19 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::access::spending::SpendBeacon;
+    /// use quillcove_core::access::spending::UsageReport;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let (uptime, spent, levels) = (Duration::ZERO, Vec::new(), Vec::new());
-    /// let report = SpendBeacon { host: "front-2".into(), incarnation: 1, uptime, spent, levels };
-    /// RelayMachine::new(RelayRules::default(), 1).take_spent(&report, Duration::ZERO);
+    /// let report = UsageReport { host: "front-2".into(), incarnation: 1, uptime, spent, levels };
+    /// RelayMachine::new(RelayRules::default(), 1).apply_usage_report(&report, Duration::ZERO);
     /// ```
-    pub fn take_spent(&mut self, report: &SpendBeacon, now: MonoTime) {
+    pub fn apply_usage_report(&mut self, report: &UsageReport, now: MonoTime) {
         let Some(access) = self.sheet.as_ref().and_then(|sheet| sheet.access()) else {
             return;
         };
         let limit_of = |name: &str| access.workspace(name).and_then(|workspace| workspace.limit);
-        self.ledger.take_told(report, limit_of, now);
+        self.ledger.record_report(report, limit_of, now);
     }
 
     /// Returns how the freshness proof of the access table has to be renewed now, if at all. `asked_at` is when other
@@ -137,17 +137,17 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::access::right::RightStep;
+    /// use quillcove_core::access::right::ProofStep;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert_eq!(machine.right_step(None, Duration::ZERO), RightStep::Rest);
+    /// assert_eq!(machine.proof_step(None, Duration::ZERO), ProofStep::Idle);
     /// ```
-    pub fn right_step(&self, asked_at: Option<MonoTime>, now: MonoTime) -> RightStep {
+    pub fn proof_step(&self, asked_at: Option<MonoTime>, now: MonoTime) -> ProofStep {
         let has_keys = self.sheet.as_ref().is_some_and(|sheet| sheet.access().is_some());
         match has_keys {
             true => self.rules.right.step(self.knowledge.proved_at(), asked_at, now),
-            false => RightStep::Rest,
+            false => ProofStep::Idle,
         }
     }
 }
--- a/quillcove_core/src/relay/machine/attempts.rs
+++ b/quillcove_core/src/relay/machine/attempts.rs
@@ -4,7 +4,7 @@
 use crate::ids::MonoTime;
 use crate::relay::beacon::AdapterKey;
 use crate::relay::reading::ReadingNumber;
-use crate::relay::replica::AttemptFate;
+use crate::relay::replica::AttemptOutcome;
 
 impl RelayMachine {
     /// Records that a request is sent to a replica.
@@ -13,9 +13,9 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// RelayMachine::new(RelayRules::default(), 1).begin("i-1", None, Duration::ZERO);
+    /// RelayMachine::new(RelayRules::default(), 1).begin_attempt("i-1", None, Duration::ZERO);
     /// ```
-    pub fn begin(&mut self, replica: &str, key: Option<&AdapterKey>, now: MonoTime) {
+    pub fn begin_attempt(&mut self, replica: &str, key: Option<&AdapterKey>, now: MonoTime) {
         self.table.begin(replica, key, now);
     }
 
@@ -25,10 +25,10 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// RelayMachine::new(RelayRules::default(), 1).hear("i-1", Duration::ZERO);
+    /// RelayMachine::new(RelayRules::default(), 1).record_bytes_received("i-1", Duration::ZERO);
     /// ```
-    pub fn hear(&mut self, replica: &str, now: MonoTime) {
-        self.table.hear(replica, now);
+    pub fn record_bytes_received(&mut self, replica: &str, now: MonoTime) {
+        self.table.record_bytes_received(replica, now);
     }
 
     /// Records the time of an attempt's first event, or `None` if it ended without one.
@@ -36,9 +36,9 @@
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// RelayMachine::new(RelayRules::default(), 1).end_reading("i-1", 1, None);
+    /// RelayMachine::new(RelayRules::default(), 1).end_prefill("i-1", 1, None);
     /// ```
-    pub fn end_reading(&mut self, replica: &str, number: ReadingNumber, read_at: Option<MonoTime>) {
+    pub fn end_prefill(&mut self, replica: &str, number: ReadingNumber, read_at: Option<MonoTime>) {
         self.table.end_reading(replica, number, read_at);
     }
 
@@ -47,16 +47,16 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
-    /// use quillcove_core::relay::replica::AttemptFate;
+    /// use quillcove_core::relay::replica::AttemptOutcome;
     ///
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert!(!machine.end("i-1", None, AttemptFate::Answered, Duration::ZERO));
+    /// assert!(!machine.end_attempt("i-1", None, AttemptOutcome::Answered, Duration::ZERO));
     /// ```
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         replica: &str,
         key: Option<&AdapterKey>,
-        fate: AttemptFate,
+        fate: AttemptOutcome,
         now: MonoTime,
     ) -> bool {
         self.table.end(replica, key, fate, now)
@@ -67,9 +67,9 @@
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// RelayMachine::new(RelayRules::default(), 1).forget("i-1");
+    /// RelayMachine::new(RelayRules::default(), 1).remove_replica("i-1");
     /// ```
-    pub fn forget(&mut self, replica: &str) {
+    pub fn remove_replica(&mut self, replica: &str) {
         self.table.remove(replica);
         self.doubt.end_replica(replica);
         self.demand.forget_engine(replica);
@@ -82,9 +82,9 @@
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let key = AdapterKey { model: "m".into(), adapter: "a1".into() };
-    /// RelayMachine::new(RelayRules::default(), 1).lacks("i-1", &key);
+    /// RelayMachine::new(RelayRules::default(), 1).record_missing_adapter("i-1", &key);
     /// ```
-    pub fn lacks(&mut self, replica: &str, key: &AdapterKey) {
-        self.table.lacks(replica, key);
+    pub fn record_missing_adapter(&mut self, replica: &str, key: &AdapterKey) {
+        self.table.remove_adapter(replica, key);
     }
 }
--- a/quillcove_core/src/relay/machine/cells.rs
+++ b/quillcove_core/src/relay/machine/cells.rs
@@ -112,7 +112,7 @@
     /// assert_eq!(machine.near_engines("s").count(), 0);
     /// ```
     pub fn near_engines<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a ReplicaView> {
-        self.ready_engines(service).filter(|view| view.is_near)
+        self.ready_engines(service).filter(|view| view.is_in_cell)
     }
 
     /// Returns the home of an adapter: the one engine that holds it for all cells until it is used enough for copies in
@@ -146,7 +146,7 @@
         }
         let need = self.need_of(query, now);
         let holds = |view: &&ReplicaView| {
-            let is_far = !view.is_near && view.record.service == query.service;
+            let is_far = !view.is_in_cell && view.record.service == query.service;
             let is_open = is_far && view.takes_work(now) && view.seems_well(now);
             is_open && view.report(now).is_some() && need.is_met_by(view, now)
         };
@@ -161,7 +161,7 @@
         model: Option<&str>,
         now: MonoTime,
     ) -> Vec<&'a ReplicaView> {
-        let near: Vec<&ReplicaView> = open.iter().filter(|view| view.is_near).copied().collect();
+        let near: Vec<&ReplicaView> = open.iter().filter(|view| view.is_in_cell).copied().collect();
         let holds = |view: &&ReplicaView| {
             model.is_none_or(|model| view.models(now).iter().any(|held| held == model))
         };
--- a/quillcove_core/src/relay/machine/choice.rs
+++ b/quillcove_core/src/relay/machine/choice.rs
@@ -7,12 +7,12 @@
 use crate::crash::book::FORGET_TIME;
 use crate::ids::{AdapterVersion, MonoTime};
 use crate::relay::beacon::{AdapterKey, ReplicaId};
-use crate::relay::demand::{EngineChoice, LackedAdapter};
+use crate::relay::demand::{AdapterNeed, EngineChoice};
 use crate::relay::policy::{CopyRule, RoutingRule, WaitingRule};
-use crate::relay::reading::ReadingPrompt;
+use crate::relay::reading::PrefillPrompt;
 use crate::relay::replica::ReplicaView;
 use crate::relay::routing::{self, COPY_MIN_LOAD, LoadedRequirement, RoutingCost};
-use crate::verdict::{RefusalReason, SOON, WorkRefusal};
+use crate::verdict::{RefusalReason, SHORT_RETRY_DELAY, WorkRefusal};
 
 /// Time from the arrival of a request at an engine to its first event while the batch is not full:
 /// the prefill of a typical prompt and two decoding steps.
@@ -100,9 +100,9 @@
     ///     adapter: None,
     ///     prompt_tokens: None,
     ///     received: Duration::ZERO,
-    ///     age: Duration::ZERO,
+    ///     since_first_attempt: Duration::ZERO,
     ///     deadline: Duration::from_secs(1),
-    ///     looks: 0,
+    ///     choice_count: 0,
     ///     grant: None,
     ///     identity: None,
     /// };
@@ -122,7 +122,7 @@
         if self.is_revoked(query) {
             return refuse(RefusalReason::KeyUnknown, None);
         }
-        if self.ends_upstreams(query, now) {
+        if self.is_rejected_as_fatal(query, now) {
             return refuse(RefusalReason::EndsUpstreams, Some(FORGET_TIME));
         }
         let draw = self.draw();
@@ -130,7 +130,9 @@
             EligibleReplicas::Open(open) => (open, false),
             EligibleReplicas::LastResort(leaving) => (leaving, true),
             EligibleReplicas::AvailableAt(until) => return self.refuse_until(until, now),
-            EligibleReplicas::None => return refuse(RefusalReason::NoUpstream, Some(SOON)),
+            EligibleReplicas::None => {
+                return refuse(RefusalReason::NoUpstream, Some(SHORT_RETRY_DELAY));
+            },
         };
         let limit = self.connection_limit(&query.service);
         let has_connection =
@@ -150,7 +152,7 @@
         let mut untried: Vec<&ReplicaView> = holders.iter().filter(is_untried).copied().collect();
         if untried.is_empty() && !holders.is_empty() {
             // A replica whose entry is merely unconfirmed is better than a rejection.
-            let unconfirmed = open.iter().filter(|view| view.is_doubted());
+            let unconfirmed = open.iter().filter(|view| view.is_unconfirmed());
             untried = unconfirmed.filter(holds).filter(is_untried).copied().collect();
         }
         let current = self.prefer_newest(query, &untried, now);
@@ -175,21 +177,21 @@
             None if query.adapter.is_some() && holders.is_empty() => {
                 self.wait_or_refuse(query, now)
             },
-            None => refuse(RefusalReason::NoUpstream, Some(SOON)),
+            None => refuse(RefusalReason::NoUpstream, Some(SHORT_RETRY_DELAY)),
         }
     }
 
     /// Returns whether loading the request's adapter makes engines exit.
     fn is_load_fatal(&self, query: &RelayQuery, now: MonoTime) -> bool {
-        query.adapter.as_ref().is_some_and(|key| self.load_ends_engines(key, now))
+        query.adapter.as_ref().is_some_and(|key| self.is_fatal_load(key, now))
     }
 
     /// Returns the prompt that the cost of replicas depends on; `None` under a rule that ignores prompts.
-    fn routing_prompt(&self, query: &RelayQuery) -> Option<ReadingPrompt> {
+    fn routing_prompt(&self, query: &RelayQuery) -> Option<PrefillPrompt> {
         match self.rules.policy.routing {
             RoutingRule::Reading => {
                 let rank = query.rank();
-                query.prompt_tokens.map(|tokens| ReadingPrompt { tokens, rank })
+                query.prompt_tokens.map(|tokens| PrefillPrompt { tokens, rank })
             },
             RoutingRule::Places => None,
         }
@@ -246,7 +248,7 @@
         let backlog = view.reading.backlog(&self.table.norm(&query.service));
         let is_busy = match self.rules.policy.copies {
             // An adapter in such demand at its home engine justifies a copy in this relay's cell.
-            _ if !view.is_near => true,
+            _ if !view.is_in_cell => true,
             CopyRule::Backlog => backlog >= self.demand.load_time(),
             CopyRule::Places => view.load(now) >= COPY_MIN_LOAD,
         };
@@ -271,7 +273,7 @@
         now: MonoTime,
     ) -> Option<MonoTime> {
         let key = query.adapter.as_ref()?;
-        if self.load_ends_engines(key, now) {
+        if self.is_fatal_load(key, now) {
             return None;
         }
         let version = self.newest(key);
@@ -281,12 +283,12 @@
         };
         let service = &query.service;
         let home = home.as_ref();
-        let missing = LackedAdapter { key, service, version, useful_until, holders, home };
-        let is_new = query.looks == 0;
-        self.demand.want(&missing, is_new, now);
+        let missing = AdapterNeed { key, service, version, useful_until, holders, home };
+        let is_new = query.choice_count == 0;
+        self.demand.record_need(&missing, is_new, now);
         // On later attempts to choose, reports and ticks have already sent the load requests.
         if is_new {
-            self.pump(now);
+            self.send_load_requests(now);
         }
         let load_wait = self.demand.ready_at(key, now).saturating_sub(now);
         Some(self.model_ready_at(&query.service, &key.model, now) + load_wait)
@@ -312,7 +314,7 @@
     }
 
     /// Sends as many load requests as the weight store has capacity for.
-    pub(super) fn pump(&mut self, now: MonoTime) {
+    pub(super) fn send_load_requests(&mut self, now: MonoTime) {
         if !self.demand.has_wanted() {
             return;
         }
@@ -328,7 +330,7 @@
                 continue;
             };
             let ready = self.table.all().filter(|view| {
-                view.is_near && view.record.service == service.name && takes_loads(view)
+                view.is_in_cell && view.record.service == service.name && takes_loads(view)
             });
             let norm = self.table.norm(&service.name);
             let is_home = |view: &&ReplicaView| view.record.service == service.name;
@@ -371,7 +373,7 @@
     /// Waits as long as the adapter can be loaded and the first event sent before the caller leaves;
     /// otherwise rejects the request at once.
     fn await_while_servable(&mut self, query: &RelayQuery, now: MonoTime) -> RelayChoice {
-        let abandon_at = query.leaves();
+        let abandon_at = query.abandon_at();
         let ready_at = self.request_load(query, abandon_at, LoadTarget::Home, now);
         let reading = self.shortest_reading_time(query);
         let is_servable = ready_at.is_some_and(|at| at + reading <= abandon_at);
@@ -385,10 +387,10 @@
     /// Returns the shortest time to a request's first event over the engines of this relay's cell.
     fn shortest_reading_time(&self, query: &RelayQuery) -> Duration {
         let rank = query.rank();
-        let prompt = ReadingPrompt { tokens: query.prompt_tokens.unwrap_or(0), rank };
+        let prompt = PrefillPrompt { tokens: query.prompt_tokens.unwrap_or(0), rank };
         let norm = self.table.norm(&query.service);
         let engines = self.near_engines(&query.service);
-        let times = engines.map(|view| view.reading.time_to_read(prompt, &norm));
+        let times = engines.map(|view| view.reading.time_to_first_event(prompt, &norm));
         times.min().unwrap_or(Duration::ZERO)
     }
 
@@ -421,17 +423,18 @@
         now: MonoTime,
     ) -> RelayChoice {
         let target_latency = query.route.aim;
-        let retry_after =
-            match self.has_engine_reports(&query.service, now) || now < FIRST_REPORTS_TIME {
-                true => ready_at.map_or(SOON, |at| at.saturating_sub(now) + REPORT_DELAY),
-                // This relay has no contact with the loaders; the caller's retry reaches another relay.
-                false => OTHER_RELAY_DELAY,
-            };
+        let retry_after = match self.has_engine_reports(&query.service, now)
+            || now < FIRST_REPORTS_TIME
+        {
+            true => ready_at.map_or(SHORT_RETRY_DELAY, |at| at.saturating_sub(now) + REPORT_DELAY),
+            // This relay has no contact with the loaders; the caller's retry reaches another relay.
+            false => OTHER_RELAY_DELAY,
+        };
         let retry_after =
             retry_after.min((query.deadline.saturating_sub(now)).mul_f64(RETRY_DELAY_SHARE));
         self.request_load(query, now + retry_after + target_latency, LoadTarget::Home, now);
         if let Some(key) = &query.adapter {
-            self.promises.tell(key, now + retry_after);
+            self.promises.record_estimate(key, now + retry_after);
         }
         refuse(RefusalReason::DeadlineTooShort, Some(retry_after))
     }
--- a/quillcove_core/src/relay/machine/crashes.rs
+++ b/quillcove_core/src/relay/machine/crashes.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptOrder, RelayMachine, RelayQuery};
 use crate::crash::digest::load_identity;
-use crate::crash::watch::{AnswerBreak, CrashWatch, ReplicaRun};
+use crate::crash::watch::{CrashTracker, ReplicaRun, ResponseAbort};
 use crate::ids::MonoTime;
 use crate::relay::beacon::{AdapterKey, EngineReport};
 
@@ -10,13 +10,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakStep {
     /// Check whether the replica has exited.
-    Ask,
+    Check,
     /// Nothing: the exit is already known, a check is running, or the replica was draining.
     Rest,
 }
 
 fn run_of(order: &AttemptOrder) -> ReplicaRun {
-    ReplicaRun { replica: order.replica.clone(), born: order.born }
+    ReplicaRun { replica: order.replica.clone(), born: order.start_time }
 }
 
 impl RelayMachine {
@@ -27,7 +27,7 @@
     ///
     /// assert!(RelayMachine::new(RelayRules::default(), 1).crashes().book().is_empty());
     /// ```
-    pub fn crashes(&self) -> &CrashWatch {
+    pub fn crashes(&self) -> &CrashTracker {
         &self.crashes
     }
 
@@ -40,12 +40,12 @@
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
     /// assert!(machine.crashes_mut().tell(true, Duration::ZERO).is_empty());
     /// ```
-    pub fn crashes_mut(&mut self) -> &mut CrashWatch {
+    pub fn crashes_mut(&mut self) -> &mut CrashTracker {
         &mut self.crashes
     }
 
     /// Returns whether a request is rejected as fatal, and records the rejection.
-    pub(super) fn ends_upstreams(&mut self, query: &RelayQuery, now: MonoTime) -> bool {
+    pub(super) fn is_rejected_as_fatal(&mut self, query: &RelayQuery, now: MonoTime) -> bool {
         let Some(identity) = query.identity else {
             return false;
         };
@@ -57,7 +57,7 @@
     }
 
     /// Returns whether engines exit when they load an adapter, in the version that would be loaded.
-    pub(super) fn load_ends_engines(&self, key: &AdapterKey, now: MonoTime) -> bool {
+    pub(super) fn is_fatal_load(&self, key: &AdapterKey, now: MonoTime) -> bool {
         if !self.crashes.book().has_loads() {
             return false;
         }
@@ -83,7 +83,7 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
-    /// use quillcove_core::crash::watch::AnswerBreak;
+    /// use quillcove_core::crash::watch::ResponseAbort;
     /// use quillcove_core::relay::machine::{AttemptOrder, BreakStep, RelayMachine, RelayRules};
     /// use quillcove_core::relay::replica::example_record;
     ///
@@ -93,13 +93,13 @@
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
     /// // The replica is not listed any more.
     /// let now = Duration::ZERO;
-    /// let broke = AnswerBreak { identity, has_begun: false, sent_at: now };
-    /// assert_eq!(machine.note_broken(&order, broke, now), BreakStep::Rest);
+    /// let broke = ResponseAbort { identity, has_begun: false, sent_at: now };
+    /// assert_eq!(machine.record_abort(&order, broke, now), BreakStep::Rest);
     /// ```
-    pub fn note_broken(
+    pub fn record_abort(
         &mut self,
         order: &AttemptOrder,
-        broke: AnswerBreak,
+        broke: ResponseAbort,
         now: MonoTime,
     ) -> BreakStep {
         let Some(view) = self.table.get(&order.replica) else {
@@ -108,14 +108,14 @@
         if !view.is_ready() {
             return BreakStep::Rest;
         }
-        let has_restarted = view.record.born != order.born;
+        let has_restarted = view.record.born != order.start_time;
         let run = run_of(order);
-        let is_first = self.crashes.note_broken(&run, broke, now);
+        let is_first = self.crashes.record_abort(&run, broke, now);
         if has_restarted {
-            self.crashes.confirm_end(&run, now);
+            self.crashes.confirm_exit(&run, now);
         }
         match is_first && !has_restarted {
-            true => BreakStep::Ask,
+            true => BreakStep::Check,
             false => BreakStep::Rest,
         }
     }
@@ -126,10 +126,10 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// assert!(!RelayMachine::new(RelayRules::default(), 1).is_heard_since("i-1", Duration::ZERO));
+    /// assert!(!RelayMachine::new(RelayRules::default(), 1).has_received_since("i-1", Duration::ZERO));
     /// ```
-    pub fn is_heard_since(&self, replica: &str, at: MonoTime) -> bool {
-        self.table.get(replica).is_some_and(|view| view.is_heard_since(at))
+    pub fn has_received_since(&self, replica: &str, at: MonoTime) -> bool {
+        self.table.get(replica).is_some_and(|view| view.has_received_since(at))
     }
 
     /// Records that a replica has exited. Returns the number of responses that were cut off by the exit.
@@ -141,10 +141,10 @@
     ///
     /// let order = AttemptOrder::to(&example_record("i-1"));
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert_eq!(machine.confirm_end(&order, Duration::ZERO), 0);
+    /// assert_eq!(machine.confirm_exit(&order, Duration::ZERO), 0);
     /// ```
-    pub fn confirm_end(&mut self, order: &AttemptOrder, now: MonoTime) -> usize {
-        self.crashes.confirm_end(&run_of(order), now)
+    pub fn confirm_exit(&mut self, order: &AttemptOrder, now: MonoTime) -> usize {
+        self.crashes.confirm_exit(&run_of(order), now)
     }
 
     /// Records that a replica has not exited, or that this can't be determined.
@@ -154,9 +154,9 @@
     /// use quillcove_core::relay::replica::example_record;
     ///
     /// let order = AttemptOrder::to(&example_record("i-1"));
-    /// RelayMachine::new(RelayRules::default(), 1).deny_end(&order);
+    /// RelayMachine::new(RelayRules::default(), 1).rule_out_exit(&order);
     /// ```
-    pub fn deny_end(&mut self, order: &AttemptOrder) {
-        self.crashes.deny_end(&run_of(order));
+    pub fn rule_out_exit(&mut self, order: &AttemptOrder) {
+        self.crashes.rule_out_exit(&run_of(order));
     }
 }
--- a/quillcove_core/src/relay/machine/doubt.rs
+++ b/quillcove_core/src/relay/machine/doubt.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{BeliefChange, RelayMachine};
+use super::{RelayMachine, StateChange};
 use crate::ids::{HallName, MonoTime, StoreEra};
 use crate::relay::beacon::ReplicaId;
-use crate::relay::published::LapsedEntry;
+use crate::relay::published::ExpiredEntry;
 
 /// Time after the store is reachable again, or was restored from an older copy, within which replicas may renew their
 /// expired or missing entries and the operator writes again what the copy lacks.
@@ -71,13 +71,13 @@
     }
 
     /// Returns a replica's missing entry; `None` if the replica is not unconfirmed.
-    pub(super) fn entry(&self, id: &str, now: MonoTime) -> Option<LapsedEntry> {
+    pub(super) fn entry(&self, id: &str, now: MonoTime) -> Option<ExpiredEntry> {
         let left = self.replicas.get(id)?.saturating_sub(now);
-        Some(LapsedEntry { replica: id.to_string(), left })
+        Some(ExpiredEntry { replica: id.to_string(), left })
     }
 
     /// Returns all missing entries.
-    pub(super) fn entries(&self, now: MonoTime) -> Vec<LapsedEntry> {
+    pub(super) fn entries(&self, now: MonoTime) -> Vec<ExpiredEntry> {
         self.replicas.keys().filter_map(|id| self.entry(id, now)).collect()
     }
 
@@ -127,17 +127,17 @@
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert!(machine.note_store(false, Duration::ZERO));
-    /// assert!(!machine.note_store(false, Duration::ZERO));
+    /// assert!(machine.set_store_reachable(false, Duration::ZERO));
+    /// assert!(!machine.set_store_reachable(false, Duration::ZERO));
     /// ```
-    pub fn note_store(&mut self, answers: bool, now: MonoTime) -> bool {
+    pub fn set_store_reachable(&mut self, answers: bool, now: MonoTime) -> bool {
         self.doubt.note_store(answers, now)
     }
 
     /// Records that a replica's entry is missing, and until when the replica may renew it.
-    pub(super) fn doubt_replica(&mut self, id: &str, until: MonoTime) {
+    pub(super) fn mark_unconfirmed(&mut self, id: &str, until: MonoTime) {
         self.doubt.replicas.entry(id.to_string()).or_insert(until);
-        self.table.doubt(id);
+        self.table.mark_unconfirmed(id);
     }
 
     /// Runs the periodic work: removes unconfirmed replicas that did not return in time, drops expired
@@ -151,25 +151,25 @@
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
     /// assert!(machine.tick(Duration::ZERO).is_empty());
     /// ```
-    pub fn tick(&mut self, now: MonoTime) -> Vec<BeliefChange> {
+    pub fn tick(&mut self, now: MonoTime) -> Vec<StateChange> {
         self.crashes.tick(now);
         self.demand.tick(now);
         self.promises.tick(now);
-        self.share_when_peers_are_known(now);
+        self.update_warm_up_shares(now);
         self.tick_cells(now);
-        self.pump(now);
+        self.send_load_requests(now);
         self.expire_unconfirmed(now)
     }
 
     /// Removes the unconfirmed replicas and puts the unconfirmed halls back in use whose time is over.
-    fn expire_unconfirmed(&mut self, now: MonoTime) -> Vec<BeliefChange> {
+    fn expire_unconfirmed(&mut self, now: MonoTime) -> Vec<StateChange> {
         let lost = self.doubt.take_expired_replicas(now);
         for id in &lost {
             self.remove_gone(id);
         }
-        let mut changes: Vec<BeliefChange> = lost.into_iter().map(BeliefChange::Gone).collect();
+        let mut changes: Vec<StateChange> = lost.into_iter().map(StateChange::Gone).collect();
         let halls = self.doubt.expired_halls(now);
-        changes.extend(halls.iter().filter_map(|hall| self.set_emptied(hall, false)));
+        changes.extend(halls.iter().filter_map(|hall| self.set_evacuated(hall, false)));
         changes
     }
 }
--- a/quillcove_core/src/relay/machine/engines.rs
+++ b/quillcove_core/src/relay/machine/engines.rs
@@ -4,18 +4,20 @@
 
 use super::RelayMachine;
 use crate::ids::MonoTime;
-use crate::relay::beacon::{AdapterUse, AddressedAsk, EngineBeacon, EngineGauges, ReplicaId};
-use crate::relay::promise::EndedPromise;
+use crate::relay::beacon::{
+    AdapterUse, AddressedLoadRequest, EngineGauges, EngineHeartbeat, ReplicaId,
+};
+use crate::relay::promise::ResolvedEstimate;
 
 impl RelayMachine {
     /// Applies a loader's report. Returns whether the adapters held by the engine changed.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::beacon::{EngineBeacon, EngineReport};
+    /// use quillcove_core::relay::beacon::{EngineHeartbeat, EngineReport};
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// let beacon = EngineBeacon {
+    /// let beacon = EngineHeartbeat {
     ///     host: "e1".into(),
     ///     engine: "127.0.0.1:1".parse().unwrap(),
     ///     number: 1,
@@ -31,7 +33,7 @@
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
     /// assert!(!machine.take_report(&beacon, Duration::ZERO));
     /// ```
-    pub fn take_report(&mut self, beacon: &EngineBeacon, now: MonoTime) -> bool {
+    pub fn take_report(&mut self, beacon: &EngineHeartbeat, now: MonoTime) -> bool {
         let is_changed = self.table.report(beacon.engine, beacon.report.clone(), now);
         if is_changed {
             self.note_held_loads(&beacon.report, now);
@@ -49,7 +51,7 @@
         }
         self.demand.note_arrivals(&beacon.arrivals, self.incoming(now));
         if is_changed || has_room {
-            self.pump(now);
+            self.send_load_requests(now);
         }
         is_changed
     }
@@ -72,11 +74,11 @@
         gauges: &EngineGauges,
         now: MonoTime,
     ) -> bool {
-        if !self.table.gauge(engine, gauges, now) {
+        if !self.table.record_gauges(engine, gauges, now) {
             return false;
         }
         if self.table.note_spare(engine, gauges.spare_places, gauges.uses.clone()) {
-            self.pump(now);
+            self.send_load_requests(now);
         }
         true
     }
@@ -108,21 +110,21 @@
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// assert!(RelayMachine::new(RelayRules::default(), 1).take_asks().is_empty());
+    /// assert!(RelayMachine::new(RelayRules::default(), 1).take_load_requests().is_empty());
     /// ```
-    pub fn take_asks(&mut self) -> Vec<AddressedAsk> {
+    pub fn take_load_requests(&mut self) -> Vec<AddressedLoadRequest> {
         self.demand.take_outbox()
     }
 
-    /// Returns whether [`RelayMachine::take_asks`] or [`RelayMachine::take_freed`] has anything to send.
+    /// Returns whether [`RelayMachine::take_load_requests`] or [`RelayMachine::take_freed`] has anything to send.
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// assert!(!RelayMachine::new(RelayRules::default(), 1).has_asks());
+    /// assert!(!RelayMachine::new(RelayRules::default(), 1).has_pending_messages());
     /// ```
-    pub fn has_asks(&self) -> bool {
-        self.demand.has_asks() || self.table.has_freed()
+    pub fn has_pending_messages(&self) -> bool {
+        self.demand.has_load_requests() || self.table.has_freed()
     }
 
     /// Takes the load estimates given to rejected callers that were settled since the last call: the adapter was
@@ -131,9 +133,9 @@
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// assert!(RelayMachine::new(RelayRules::default(), 1).take_promises().is_empty());
+    /// assert!(RelayMachine::new(RelayRules::default(), 1).take_settled_estimates().is_empty());
     /// ```
-    pub fn take_promises(&mut self) -> Vec<EndedPromise> {
+    pub fn take_settled_estimates(&mut self) -> Vec<ResolvedEstimate> {
         self.promises.take_ended()
     }
 }
--- a/quillcove_core/src/relay/machine/limits.rs
+++ b/quillcove_core/src/relay/machine/limits.rs
@@ -7,7 +7,7 @@
 use super::{AttemptOrder, RelayMachine};
 use crate::access::ledger::FleetSize;
 use crate::ids::{HostId, MonoTime};
-use crate::relay::beacon::{LimitBeacon, LimitWord, ReplicaId};
+use crate::relay::beacon::{AnnouncedLimit, LimitUpdate, ReplicaId};
 use crate::relay::replica::ReplicaView;
 use crate::relay::sharing::{self, LimitKind, RelayPeers};
 use crate::standing::limit::RateLimit;
@@ -55,11 +55,11 @@
 
 /// Schedules the limit reports of this relay.
 #[derive(Clone, Debug, Default)]
-pub(super) struct LimitTeller {
+pub(super) struct LimitReportSchedule {
     reports: BTreeMap<ReplicaId, LimitReportState>,
 }
 
-impl LimitTeller {
+impl LimitReportSchedule {
     /// Schedules a report on a limit that this relay learnt from the replica itself.
     fn schedule_report(&mut self, replica: &str, now: MonoTime) {
         let state = LimitReportState { left: REPORT_COUNT, at: now, is_confirmed: false };
@@ -128,16 +128,21 @@
     /// let record = example_record("i-1");
     /// let order = AttemptOrder::to(&record);
     /// machine.list(record, Duration::ZERO);
-    /// assert!(!machine.note_no_limit(&order, Duration::ZERO), "it has named none");
+    /// assert!(!machine.record_no_limit(&order, Duration::ZERO), "it has named none");
     /// ```
-    pub fn note_no_limit(&mut self, order: &AttemptOrder, now: MonoTime) -> bool {
+    pub fn record_no_limit(&mut self, order: &AttemptOrder, now: MonoTime) -> bool {
         let known = self.table.get(&order.replica).and_then(|view| view.standing.limit_word(now));
         let Some(known) = known else {
             return false;
         };
         let spread = self.return_spread();
-        let is_end =
-            self.table.note_no_limit(&order.replica, order.born, order.chosen_at, spread, now);
+        let is_end = self.table.note_no_limit(
+            &order.replica,
+            order.start_time,
+            order.chosen_at,
+            spread,
+            now,
+        );
         if is_end {
             self.limits.schedule_report(&order.replica, now);
         } else if known.limit.is_none() && known.known_for >= CONFIRM_TIME {
@@ -150,7 +155,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::beacon::{LimitBeacon, LimitWord};
+    /// use quillcove_core::relay::beacon::{LimitUpdate, AnnouncedLimit};
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     /// use quillcove_core::relay::replica::example_record;
     /// use quillcove_core::standing::limit::RateLimit;
@@ -158,15 +163,15 @@
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
     /// machine.list(example_record("i-1"), Duration::ZERO);
     /// let limit = RateLimit::per_second(2.0);
-    /// let report = LimitWord { replica: "i-1".into(), born: None, limit, age: Duration::ZERO };
-    /// machine.take_limits(&LimitBeacon { words: vec![report] }, Duration::ZERO);
+    /// let report = AnnouncedLimit { replica: "i-1".into(), born: None, limit, age: Duration::ZERO };
+    /// machine.apply_limit_reports(&LimitUpdate { words: vec![report] }, Duration::ZERO);
     /// assert!(!machine.table().get("i-1").unwrap().takes_work(Duration::ZERO));
     /// ```
-    pub fn take_limits(&mut self, beacon: &LimitBeacon, now: MonoTime) {
+    pub fn apply_limit_reports(&mut self, beacon: &LimitUpdate, now: MonoTime) {
         for report in &beacon.words {
             let spread = self.return_spread();
-            let LimitWord { replica, born, limit, age } = report;
-            if self.table.note_told_limit(replica, *born, *limit, *age, spread, now) {
+            let AnnouncedLimit { replica, born, limit, age } = report;
+            if self.table.record_reported_limit(replica, *born, *limit, *age, spread, now) {
                 self.update_limit_share(replica, now);
             }
             let known = self.table.get(replica).and_then(|view| view.standing.limit_word(now));
@@ -183,11 +188,11 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// assert!(RelayMachine::new(RelayRules::default(), 1).tell_limits(Duration::ZERO).is_none());
+    /// assert!(RelayMachine::new(RelayRules::default(), 1).take_due_limit_reports(Duration::ZERO).is_none());
     /// ```
-    pub fn tell_limits(&mut self, now: MonoTime) -> Option<LimitBeacon> {
+    pub fn take_due_limit_reports(&mut self, now: MonoTime) -> Option<LimitUpdate> {
         let due = self.table.all().filter_map(|view| self.due_report(view, now));
-        let due: Vec<(DueReport, LimitWord)> = due.take(MAX_REPORTS).collect();
+        let due: Vec<(DueReport, AnnouncedLimit)> = due.take(MAX_REPORTS).collect();
         let mut words = Vec::new();
         for (due, report) in due {
             self.limits.record_sent(&report.replica, now);
@@ -197,10 +202,10 @@
         }
         let table = &self.table;
         self.limits.reports.retain(|replica, _| table.get(replica).is_some());
-        (!words.is_empty()).then_some(LimitBeacon { words })
+        (!words.is_empty()).then_some(LimitUpdate { words })
     }
 
-    fn due_report(&self, view: &ReplicaView, now: MonoTime) -> Option<(DueReport, LimitWord)> {
+    fn due_report(&self, view: &ReplicaView, now: MonoTime) -> Option<(DueReport, AnnouncedLimit)> {
         let known = view.standing.limit_word(now)?;
         let is_over = known.limit.is_none() && known.known_for >= END_LIFETIME;
         let replica = &view.record.id;
@@ -209,11 +214,11 @@
             return None;
         }
         let (limit, age) = (known.limit, known.age);
-        Some((due, LimitWord { replica: replica.clone(), born: view.record.born, limit, age }))
+        Some((due, AnnouncedLimit { replica: replica.clone(), born: view.record.born, limit, age }))
     }
 
     /// Records that a replica has announced a limit to this relay other than the one known.
-    pub(super) fn note_limit_news(&mut self, replica: &str, now: MonoTime) {
+    pub(super) fn record_limit_change(&mut self, replica: &str, now: MonoTime) {
         self.limits.schedule_report(replica, now);
         self.update_limit_share(replica, now);
     }
@@ -242,7 +247,7 @@
         }
         if let Some(rate) = warm_up {
             let gap = self.gap_of(replica, rate, LimitKind::WarmUp);
-            self.table.set_cold_gap(replica, gap.filter(|_| now >= PEER_DISCOVERY_TIME), now);
+            self.table.set_warm_up_gap(replica, gap.filter(|_| now >= PEER_DISCOVERY_TIME), now);
         }
     }
 
@@ -252,7 +257,7 @@
         let relays = self.peers.count();
         let senders = sharing::sender_count(limit, kind, relays, self.rules.policy.sharing);
         // Unreachable relays may be partitioned and go on using their shares.
-        let share = FleetSize { heard: relays, most: self.most_peers }.share();
+        let share = FleetSize { reachable: relays, most: self.most_peers }.share();
         let gap = limit.gap().mul_f64(senders as f64 / share);
         (self.peers.rank(replica) < senders).then_some(gap)
     }
@@ -272,7 +277,7 @@
             return false;
         }
         let until = now + left + self.return_spread();
-        let has_changed = self.table.note_cold(replica, rate, until, now);
+        let has_changed = self.table.record_warm_up(replica, rate, until, now);
         if has_changed {
             self.update_limit_share(replica, now);
         }
@@ -280,7 +285,7 @@
     }
 
     /// Sets the shares of warm-up rates once the other relays are taken as known.
-    pub(super) fn share_when_peers_are_known(&mut self, now: MonoTime) {
+    pub(super) fn update_warm_up_shares(&mut self, now: MonoTime) {
         if !self.are_peers_known && now >= PEER_DISCOVERY_TIME {
             self.are_peers_known = true;
             self.update_limit_shares(now);
--- a/quillcove_core/src/relay/machine/mod.rs
+++ b/quillcove_core/src/relay/machine/mod.rs
@@ -19,7 +19,7 @@
 
 pub use self::crashes::BreakStep;
 use self::doubt::UnconfirmedState;
-use self::limits::LimitTeller;
+use self::limits::LimitReportSchedule;
 pub use self::priority::ReadingStart;
 pub use self::query::{AttemptOrder, RelayChoice, RelayQuery};
 pub use self::told::EventEffect;
@@ -34,16 +34,16 @@
 use super::demand::AdapterDemand;
 use super::knowledge::StoreKnowledge;
 use super::policy::RelayPolicy;
-use super::promise::PromiseBook;
+use super::promise::LoadEstimates;
 use super::reading::ReadingNumber;
 use super::replica::{ReplicaTable, ReplicaView};
 use super::sharing::RelayPeers;
-use super::sheet::{RouteSheet, SheetVersion};
+use super::sheet::{ConfigVersion, PublishedConfig};
 use super::tries::CallerTries;
 use crate::access::ledger::{FleetSize, LimitLedger};
 use crate::access::limit::LimitRules;
-use crate::access::right::RightRules;
-use crate::crash::watch::CrashWatch;
+use crate::access::right::KeyValidityRules;
+use crate::crash::watch::CrashTracker;
 use crate::entry::retry::RetryBudget;
 use crate::ids::{AdapterVersion, HallName, HostId, MonoTime, ServiceName};
 use crate::rendezvous;
@@ -68,7 +68,7 @@
     /// Rules by which the relay decides.
     pub policy: RelayPolicy,
     /// How long API keys stay valid after their revocation.
-    pub right: RightRules,
+    pub right: KeyValidityRules,
     /// How the limits of workspaces are enforced and divided between relays.
     pub limits: LimitRules,
 }
@@ -83,7 +83,7 @@
             request_limit: 2048,
             drain_time: Duration::from_secs(2),
             policy: RelayPolicy::default(),
-            right: RightRules::default(),
+            right: KeyValidityRules::default(),
             limits: LimitRules::default(),
         }
     }
@@ -91,9 +91,9 @@
 
 /// A change of the relay's state that is written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BeliefChange {
+pub enum StateChange {
     /// A configuration came into force.
-    Sheet(SheetVersion),
+    Configuration(ConfigVersion),
     /// An adapter has a new version.
     Version(HeldAdapter),
     /// A replica is new, or its state changed.
@@ -103,13 +103,13 @@
     /// A replica was removed because another one was listed at its address, or because it has restarted.
     Replaced(ReplicaId),
     /// A replica is unconfirmed: its entry is gone, but may be renewed as the store was unreachable or restored.
-    Doubted(ReplicaId),
+    Unconfirmed(ReplicaId),
     /// The entry of an unconfirmed replica was renewed.
     Returned(ReplicaId),
     /// A replica has begun its warm-up.
-    Cold(ReplicaId),
+    WarmingUp(ReplicaId),
     /// A hall is being evacuated.
-    HallEmptied(HallName),
+    HallEvacuated(HallName),
     /// A hall is in use again.
     HallInUse(HallName),
 }
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug)]
 pub struct RelayMachine {
     rules: RelayRules,
-    sheet: Option<Arc<RouteSheet>>,
+    sheet: Option<Arc<PublishedConfig>>,
     table: ReplicaTable,
     /// Division of the engines of each service into cells.
     cells: BTreeMap<ServiceName, CellPlan>,
@@ -135,7 +135,7 @@
     /// Newest published version of each adapter, and the time from which requests may start on no older one.
     versions: BTreeMap<AdapterKey, (AdapterVersion, MonoTime)>,
     demand: AdapterDemand,
-    promises: PromiseBook,
+    promises: LoadEstimates,
     budgets: BTreeMap<ServiceName, RetryBudget>,
     /// Remaining times that callers state, by route, from which retries are recognized.
     tries: BTreeMap<String, CallerTries>,
@@ -153,13 +153,13 @@
     /// Whether the process has run for long enough to know the other relays.
     are_peers_known: bool,
     /// Which rate limits of replicas have been reported to the other relays.
-    limits: LimitTeller,
+    limits: LimitReportSchedule,
     /// Positions in the store up to which this relay is informed.
     knowledge: StoreKnowledge,
     /// Usage of the workspaces.
     ledger: LimitLedger,
     /// Tracks the requests under which replicas exit.
-    crashes: CrashWatch,
+    crashes: CrashTracker,
     /// Number of requests in flight.
     requests: usize,
     is_stopping: bool,
@@ -189,7 +189,7 @@
             cells_due: MonoTime::ZERO,
             versions: BTreeMap::new(),
             demand: AdapterDemand::default(),
-            promises: PromiseBook::default(),
+            promises: LoadEstimates::default(),
             budgets: BTreeMap::new(),
             tries: BTreeMap::new(),
             doubt: UnconfirmedState::default(),
@@ -198,9 +198,9 @@
             peers,
             most_peers: 1,
             are_peers_known: false,
-            limits: LimitTeller::default(),
+            limits: LimitReportSchedule::default(),
             knowledge: StoreKnowledge::default(),
-            crashes: CrashWatch::default(),
+            crashes: CrashTracker::default(),
             requests: 0,
             is_stopping: false,
             draw_state: seed,
@@ -229,7 +229,7 @@
     ///
     /// assert!(RelayMachine::new(RelayRules::default(), 1).sheet().is_none());
     /// ```
-    pub fn sheet(&self) -> Option<&Arc<RouteSheet>> {
+    pub fn sheet(&self) -> Option<&Arc<PublishedConfig>> {
         self.sheet.as_ref()
     }
 
@@ -286,7 +286,7 @@
             self.most_relays = self.relays;
             self.resize_budgets();
         }
-        let fleet = FleetSize { heard: others.recent + 1, most: self.most_relays };
+        let fleet = FleetSize { reachable: others.recent + 1, most: self.most_relays };
         self.ledger.set_fleet(fleet, now);
         self.demand.set_others(others);
     }
@@ -297,9 +297,9 @@
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// assert!(!RelayMachine::new(RelayRules::default(), 1).hears_few_relays());
+    /// assert!(!RelayMachine::new(RelayRules::default(), 1).is_maybe_partitioned());
     /// ```
-    pub fn hears_few_relays(&self) -> bool {
+    pub fn is_maybe_partitioned(&self) -> bool {
         self.relays * 2 < self.most_relays
     }
 
@@ -308,9 +308,9 @@
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// assert_eq!(RelayMachine::new(RelayRules::default(), 1).lacking(), 0);
+    /// assert_eq!(RelayMachine::new(RelayRules::default(), 1).missing_adapter_count(), 0);
     /// ```
-    pub fn lacking(&self) -> usize {
+    pub fn missing_adapter_count(&self) -> usize {
         self.demand.lacking()
     }
 
@@ -388,7 +388,7 @@
             return Err(WorkRefusal::overloaded());
         }
         self.requests += 1;
-        self.budget(service).note_first();
+        self.budget(service).record_first_attempt();
         Ok(())
     }
 
@@ -400,10 +400,10 @@
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert_eq!(machine.age_of("r", Duration::from_secs(1)), Duration::ZERO);
+    /// assert_eq!(machine.time_since_first_attempt("r", Duration::from_secs(1)), Duration::ZERO);
     /// ```
-    pub fn age_of(&mut self, route: &str, waiting_time: Duration) -> Duration {
-        self.tries.entry(route.to_string()).or_default().age_of(waiting_time)
+    pub fn time_since_first_attempt(&mut self, route: &str, waiting_time: Duration) -> Duration {
+        self.tries.entry(route.to_string()).or_default().time_since_first_attempt(waiting_time)
     }
 
     /// Records that an admitted request was answered or abandoned.
@@ -444,7 +444,7 @@
     /// ```
     pub fn draw_service(&mut self, route: &RouteRecord) -> Option<ServiceName> {
         let draw = self.draw();
-        route.draw_service(draw).cloned()
+        route.choose_service(draw).cloned()
     }
 
     /// Returns the next pseudo-random number.
--- a/quillcove_core/src/relay/machine/priority.rs
+++ b/quillcove_core/src/relay/machine/priority.rs
@@ -5,7 +5,7 @@
 use super::{RelayMachine, RelayQuery};
 use crate::ids::MonoTime;
 use crate::relay::policy::PriorityRule;
-use crate::relay::reading::{ReadingNumber, ReadingPrompt};
+use crate::relay::reading::{PrefillPrompt, ReadingNumber};
 
 /// Last rank of requests that can meet their target latency; the others get the ranks after it.
 const LAST_TIMELY_RANK: u8 = 4;
@@ -56,16 +56,16 @@
     ///     adapter: None,
     ///     prompt_tokens: None,
     ///     received: Duration::ZERO,
-    ///     age: Duration::ZERO,
+    ///     since_first_attempt: Duration::ZERO,
     ///     deadline: Duration::from_secs(1),
-    ///     looks: 0,
+    ///     choice_count: 0,
     ///     grant: None,
     ///     identity: None,
     /// };
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert_eq!(machine.begin_reading("i-1", &query, Duration::ZERO).rank, 2);
+    /// assert_eq!(machine.begin_prefill("i-1", &query, Duration::ZERO).rank, 2);
     /// ```
-    pub fn begin_reading(
+    pub fn begin_prefill(
         &mut self,
         replica: &str,
         query: &RelayQuery,
@@ -76,15 +76,15 @@
             return ReadingStart { number: None, rank, expected: None };
         };
         let norm = self.table.norm(&query.service);
-        let prompt = ReadingPrompt { tokens, rank };
-        let reading_time = view.reading.time_to_read(prompt, &norm);
+        let prompt = PrefillPrompt { tokens, rank };
+        let reading_time = view.reading.time_to_first_event(prompt, &norm);
         let is_late = now + reading_time > query.due();
         let rank = match self.rules.policy.priority {
             PriorityRule::Feasible if is_late => (rank + LAST_TIMELY_RANK + 1).min(LAST_RANK),
             PriorityRule::Feasible | PriorityRule::Route => rank,
         };
-        let prompt = ReadingPrompt { tokens, rank };
-        let expected = view.reading.time_to_read(prompt, &norm);
+        let prompt = PrefillPrompt { tokens, rank };
+        let expected = view.reading.time_to_first_event(prompt, &norm);
         self.last_reading += 1;
         self.table.begin_reading(replica, self.last_reading, prompt, now);
         ReadingStart { number: Some(self.last_reading), rank, expected: Some(expected) }
--- a/quillcove_core/src/relay/machine/published.rs
+++ b/quillcove_core/src/relay/machine/published.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{BeliefChange, RelayMachine};
+use super::{RelayMachine, StateChange};
 use crate::ids::{AdapterVersion, HallName, MonoTime};
 use crate::relay::beacon::{AdapterKey, HeldAdapter, ReplicaId};
 use crate::relay::knowledge::StoreKnowledge;
 use crate::relay::position::{ReadPositions, StorePosition};
 use crate::relay::published::{LeavingReplica, PublishedState, StorePart};
 use crate::relay::replica::{RecordOrder, ReplicaRecord};
-use crate::relay::sheet::RouteSheet;
+use crate::relay::sheet::PublishedConfig;
 
 /// Time within which requests may still begin on an adapter version after a newer one was published. The requirements
 /// allow 5 s; the rest is for requests in transit.
@@ -23,14 +23,14 @@
     ///
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
-    /// use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+    /// use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
     ///
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// let sheet = |version| RouteSheet::new(version, vec![], vec![], CallerLimits::default());
-    /// assert!(machine.take_sheet(sheet(2)));
-    /// assert!(!machine.take_sheet(sheet(1)));
+    /// let sheet = |version| PublishedConfig::new(version, vec![], vec![], CallerLimits::default());
+    /// assert!(machine.apply_configuration(sheet(2)));
+    /// assert!(!machine.apply_configuration(sheet(1)));
     /// ```
-    pub fn take_sheet(&mut self, sheet: RouteSheet) -> bool {
+    pub fn apply_configuration(&mut self, sheet: PublishedConfig) -> bool {
         let is_newer = self.sheet.as_ref().is_none_or(|held| sheet.version > held.version);
         if is_newer {
             self.sheet = Some(Arc::new(sheet));
@@ -68,18 +68,18 @@
     /// Marks a hall as evacuated or as in use. Returns the change, if any.
     ///
     /// ```
-    /// use quillcove_core::relay::machine::{BeliefChange, RelayMachine, RelayRules};
+    /// use quillcove_core::relay::machine::{StateChange, RelayMachine, RelayRules};
     ///
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// let change = machine.set_emptied("hall-a", true);
-    /// assert_eq!(change, Some(BeliefChange::HallEmptied("hall-a".into())));
+    /// let change = machine.set_evacuated("hall-a", true);
+    /// assert_eq!(change, Some(StateChange::HallEvacuated("hall-a".into())));
     /// ```
-    pub fn set_emptied(&mut self, hall: &str, is_emptied: bool) -> Option<BeliefChange> {
+    pub fn set_evacuated(&mut self, hall: &str, is_emptied: bool) -> Option<StateChange> {
         self.doubt.end_hall(hall);
-        let has_changed = self.table.set_emptied(hall, is_emptied);
+        let has_changed = self.table.set_evacuated(hall, is_emptied);
         let change = match is_emptied {
-            true => BeliefChange::HallEmptied(hall.to_string()),
-            false => BeliefChange::HallInUse(hall.to_string()),
+            true => StateChange::HallEvacuated(hall.to_string()),
+            false => StateChange::HallInUse(hall.to_string()),
         };
         has_changed.then_some(change)
     }
@@ -92,10 +92,10 @@
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// machine.set_emptied("hall-a", true);
+    /// machine.set_evacuated("hall-a", true);
     /// assert_eq!(machine.set_all_emptied(&[], Duration::ZERO).len(), 1);
     /// ```
-    pub fn set_all_emptied(&mut self, emptied: &[HallName], now: MonoTime) -> Vec<BeliefChange> {
+    pub fn set_all_emptied(&mut self, emptied: &[HallName], now: MonoTime) -> Vec<StateChange> {
         let known = self.table.emptied().iter();
         let missing: Vec<HallName> =
             known.filter(|hall| !emptied.contains(hall)).cloned().collect();
@@ -103,10 +103,10 @@
         for hall in missing {
             match self.doubt.end(now) {
                 Some(until) => self.doubt.note_hall(hall, until),
-                None => changes.extend(self.set_emptied(&hall, false)),
+                None => changes.extend(self.set_evacuated(&hall, false)),
             }
         }
-        changes.extend(emptied.iter().filter_map(|hall| self.set_emptied(hall, true)));
+        changes.extend(emptied.iter().filter_map(|hall| self.set_evacuated(hall, true)));
         changes
     }
 
@@ -121,7 +121,7 @@
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
     /// assert_eq!(machine.list(example_record("i-1"), Duration::ZERO).len(), 1);
     /// ```
-    pub fn list(&mut self, record: ReplicaRecord, now: MonoTime) -> Vec<BeliefChange> {
+    pub fn list(&mut self, record: ReplicaRecord, now: MonoTime) -> Vec<StateChange> {
         let current = self.table.at(record.address);
         if current.is_some_and(|view| view.record.created > record.created) {
             return Vec::new();
@@ -134,13 +134,13 @@
         let was_unconfirmed = self.doubt.end_replica(&record.id);
         let mut changes = Vec::new();
         if order == RecordOrder::Restart {
-            self.forget(&record.id);
-            changes.push(BeliefChange::Replaced(record.id.clone()));
+            self.remove_replica(&record.id);
+            changes.push(StateChange::Replaced(record.id.clone()));
         }
         for id in self.table.remove_before(&record) {
             self.doubt.end_replica(&id);
             self.demand.forget_engine(&id);
-            changes.push(BeliefChange::Replaced(id));
+            changes.push(StateChange::Replaced(id));
         }
         let id = record.id.clone();
         let is_changed = self.table.list(record, now);
@@ -149,11 +149,11 @@
         self.update_limit_share(&id, now);
         let is_warming_up = self.apply_warm_up(&id, now);
         if is_changed {
-            changes.push(BeliefChange::Listed(id));
+            changes.push(StateChange::Listed(id));
         } else if was_unconfirmed {
-            changes.push(BeliefChange::Returned(id));
+            changes.push(StateChange::Returned(id));
         } else if is_warming_up {
-            changes.push(BeliefChange::Cold(id));
+            changes.push(StateChange::WarmingUp(id));
         }
         changes
     }
@@ -168,14 +168,14 @@
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
     /// assert_eq!(machine.unlist("i-1", Duration::ZERO), None);
     /// ```
-    pub fn unlist(&mut self, id: &str, now: MonoTime) -> Option<BeliefChange> {
+    pub fn unlist(&mut self, id: &str, now: MonoTime) -> Option<StateChange> {
         self.table.get(id)?;
         if let Some(until) = self.doubt.end(now) {
-            self.doubt_replica(id, until);
-            return Some(BeliefChange::Doubted(id.to_string()));
+            self.mark_unconfirmed(id, until);
+            return Some(StateChange::Unconfirmed(id.to_string()));
         }
         self.remove_gone(id);
-        Some(BeliefChange::Gone(id.to_string()))
+        Some(StateChange::Gone(id.to_string()))
     }
 
     /// Applies the complete list of replicas: those that it lacks are gone.
@@ -189,9 +189,9 @@
     /// machine.list(example_record("i-1"), Duration::ZERO);
     /// assert_eq!(machine.list_all(Vec::new(), Duration::ZERO).len(), 1);
     /// ```
-    pub fn list_all(&mut self, records: Vec<ReplicaRecord>, now: MonoTime) -> Vec<BeliefChange> {
+    pub fn list_all(&mut self, records: Vec<ReplicaRecord>, now: MonoTime) -> Vec<StateChange> {
         let missing = self.missing_in(&records);
-        let mut changes: Vec<BeliefChange> =
+        let mut changes: Vec<StateChange> =
             missing.iter().filter_map(|id| self.unlist(id, now)).collect();
         changes.extend(self.list_present(records, now));
         self.update_cells();
@@ -200,10 +200,10 @@
 
     /// Applies the entries of a complete list, except for those of replicas that are known to be gone: an older copy of
     /// the store, or another relay, may still list them.
-    fn list_present(&mut self, records: Vec<ReplicaRecord>, now: MonoTime) -> Vec<BeliefChange> {
+    fn list_present(&mut self, records: Vec<ReplicaRecord>, now: MonoTime) -> Vec<StateChange> {
         let mut changes = Vec::new();
         for record in records {
-            if !self.table.has_departed(&record) {
+            if !self.table.has_tombstone(&record) {
                 changes.extend(self.list(record, now));
             }
         }
@@ -212,7 +212,7 @@
 
     /// Removes a replica whose entry is gone.
     pub(super) fn remove_gone(&mut self, id: &str) {
-        self.table.remove_gone(id);
+        self.table.remove_with_tombstone(id);
         self.doubt.end_replica(id);
         self.demand.forget_engine(id);
     }
@@ -237,7 +237,7 @@
         let version = |(key, (version, _)): (&AdapterKey, &(AdapterVersion, MonoTime))| {
             HeldAdapter { key: key.clone(), version: *version }
         };
-        let summary = self.knowledge.word(true, Duration::ZERO);
+        let summary = self.knowledge.summary(true, Duration::ZERO);
         PublishedState {
             read: summary.read,
             changed: summary.changed,
@@ -281,19 +281,19 @@
         &mut self,
         mut published: PublishedState,
         now: MonoTime,
-    ) -> Vec<BeliefChange> {
+    ) -> Vec<StateChange> {
         let mut changes = Vec::new();
         if let Some(sheet) = published.sheet.take() {
             let version = sheet.version;
-            if self.take_sheet(sheet) {
-                changes.push(BeliefChange::Sheet(version));
+            if self.apply_configuration(sheet) {
+                changes.push(StateChange::Configuration(version));
             }
         }
         for held in std::mem::take(&mut published.versions) {
             self.take_version(held.key, held.version, true, now);
         }
         for leaving in std::mem::take(&mut published.leaving) {
-            self.table.note_told_leaving(&leaving.replica, leaving.born, now);
+            self.table.record_reported_draining(&leaving.replica, leaving.born, now);
         }
         let known = self.read();
         self.enter_era(published.read.operator.era.max(published.read.replicas.era), now);
@@ -311,7 +311,7 @@
             // Within an era, the other relay has read the removal: it would still list a replica that is unconfirmed.
             if !is_later_era {
                 self.remove_gone(&id);
-                changes.push(BeliefChange::Gone(id));
+                changes.push(StateChange::Gone(id));
             } else {
                 changes.extend(self.unlist(&id, now));
             }
@@ -321,7 +321,7 @@
         // position from which this relay reads on, so it would never learn of it.
         for entry in published.lapsed {
             if self.table.get(&entry.replica).is_some() {
-                self.doubt_replica(&entry.replica, now + entry.left);
+                self.mark_unconfirmed(&entry.replica, now + entry.left);
             }
         }
         self.update_cells();
