--- a/quillcove_core/src/relay/machine/query.rs
+++ b/quillcove_core/src/relay/machine/query.rs
@@ -28,11 +28,11 @@
     /// When the request's head was received.
     pub received: MonoTime,
     /// Time since the caller's first attempt; zero for a first attempt or if it is unknown.
-    pub age: Duration,
+    pub since_first_attempt: Duration,
     /// When the caller's or the route's timeout ends.
     pub deadline: MonoTime,
     /// Number of choices already made for the request.
-    pub looks: u32,
+    pub choice_count: u32,
     /// Access that the request's API key grants; `None` where no key is required.
     pub grant: Option<AccessGrant>,
     /// Identity of the request's content, independent of its request id; `None` if it is unknown.
@@ -52,20 +52,20 @@
     ///
     /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
     pub fn due(&self) -> MonoTime {
-        (self.received + self.route.aim).saturating_sub(self.age)
+        (self.received + self.route.aim).saturating_sub(self.since_first_attempt)
     }
 
     /// Returns whether the caller is known to have tried before.
     ///
     /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
     pub fn is_retry(&self) -> bool {
-        self.age > Duration::ZERO
+        self.since_first_attempt > Duration::ZERO
     }
 
     /// Returns when the caller leaves if no response has begun.
     ///
     /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
-    pub fn leaves(&self) -> MonoTime {
+    pub fn abandon_at(&self) -> MonoTime {
         let patience = self.route.patience.map(|patience| self.received + patience);
         patience.map_or(self.deadline, |leaves| leaves.min(self.deadline))
     }
@@ -77,7 +77,7 @@
     /// Replica to send to.
     pub replica: ReplicaId,
     /// Start time of the replica, if it states one.
-    pub born: Option<StartTime>,
+    pub start_time: Option<StartTime>,
     /// Address of the replica.
     pub address: SocketAddr,
     /// Whether the replica is draining and is used only because no other replica is left.
@@ -98,7 +98,7 @@
     pub fn to(record: &ReplicaRecord) -> Self {
         Self {
             replica: record.id.clone(),
-            born: record.born,
+            start_time: record.born,
             address: record.address,
             is_last_resort: false,
             chosen_at: MonoTime::ZERO,
--- a/quillcove_core/src/relay/machine/repeats.rs
+++ b/quillcove_core/src/relay/machine/repeats.rs
@@ -11,7 +11,8 @@
     /// Returns the retry budget of a service, created at its first use.
     pub(super) fn budget(&mut self, service: &str) -> &mut RetryBudget {
         let (share, capacity) = (self.rules.retry_share, self.retry_capacity());
-        let new_budget = || RetryBudget::starting_with(share, capacity, capacity.min(MIN_RETRIES));
+        let new_budget =
+            || RetryBudget::with_initial_retries(share, capacity, capacity.min(MIN_RETRIES));
         self.budgets.entry(service.to_string()).or_insert_with(new_budget)
     }
 
@@ -38,10 +39,10 @@
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// assert!(RelayMachine::new(RelayRules::default(), 1).take_repeat("s"));
+    /// assert!(RelayMachine::new(RelayRules::default(), 1).take_retry("s"));
     /// ```
-    pub fn take_repeat(&mut self, service: &str) -> bool {
-        self.budget(service).take()
+    pub fn take_retry(&mut self, service: &str) -> bool {
+        self.budget(service).try_take()
     }
 
     /// Returns whether the budget of a service allows a retry now.
@@ -49,9 +50,9 @@
     /// ```
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     ///
-    /// assert!(RelayMachine::new(RelayRules::default(), 1).has_repeat("s"));
+    /// assert!(RelayMachine::new(RelayRules::default(), 1).has_retry("s"));
     /// ```
-    pub fn has_repeat(&mut self, service: &str) -> bool {
-        self.budget(service).allows()
+    pub fn has_retry(&mut self, service: &str) -> bool {
+        self.budget(service).has_retry()
     }
 }
--- a/quillcove_core/src/relay/machine/standing.rs
+++ b/quillcove_core/src/relay/machine/standing.rs
@@ -6,7 +6,7 @@
 use crate::ids::MonoTime;
 use crate::relay::replica::{ReplicaState, ReplicaView};
 use crate::standing::notice::UpstreamNotice;
-use crate::standing::{StandingChange, share_of, spread_return};
+use crate::standing::{UpstreamStatusChange, share_of, spread_return};
 use crate::verdict::RefusalReason;
 
 /// Share of the drain time for which a draining replica is used if no other one is left. Less than the whole, as the
@@ -40,7 +40,7 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::machine::{AttemptOrder, RelayMachine, RelayRules};
     /// use quillcove_core::relay::replica::example_record;
-    /// use quillcove_core::standing::StandingChange;
+    /// use quillcove_core::standing::UpstreamStatusChange;
     /// use quillcove_core::standing::notice::UpstreamNotice;
     ///
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
@@ -48,28 +48,29 @@
     /// let order = AttemptOrder::to(&record);
     /// machine.list(record, Duration::ZERO);
     /// let notice = UpstreamNotice { is_leaving: true, rest: None, limit: None };
-    /// let change = machine.note_said(&order, &notice, Duration::ZERO);
-    /// assert_eq!(change, Some(StandingChange::Leaves));
+    /// let change = machine.record_notice(&order, &notice, Duration::ZERO);
+    /// assert_eq!(change, Some(UpstreamStatusChange::Leaves));
     /// ```
-    pub fn note_said(
+    pub fn record_notice(
         &mut self,
         order: &AttemptOrder,
         notice: &UpstreamNotice,
         now: MonoTime,
-    ) -> Option<StandingChange> {
+    ) -> Option<UpstreamStatusChange> {
         let spread = self.return_spread();
         let previous = self.table.get(&order.replica).and_then(|view| view.standing.limit());
-        let change = self.table.note_said(&order.replica, order.born, notice, spread, now);
+        let change =
+            self.table.record_notice(&order.replica, order.start_time, notice, spread, now);
         let current = self.table.get(&order.replica).and_then(|view| view.standing.limit());
         if current != previous {
-            self.note_limit_news(&order.replica, now);
+            self.record_limit_change(&order.replica, now);
         }
-        if change == Some(StandingChange::Leaves) {
+        if change == Some(UpstreamStatusChange::Leaves) {
             self.demand.leave_engine(&order.replica);
         }
         if change.is_some() {
             // Adapters that the replica held have to be loaded elsewhere from now on.
-            self.pump(now);
+            self.send_load_requests(now);
         }
         change
     }
@@ -105,7 +106,9 @@
             true => self.is_last_resort(view, received),
             false => view.is_ready(),
         };
-        is_usable && view.record.born == order.born && view.standing.may_write(order.chosen_at, now)
+        is_usable
+            && view.record.born == order.start_time
+            && view.standing.may_write(order.chosen_at, now)
     }
 
     /// Returns the replicas of a request's service that may be chosen.
@@ -128,7 +131,7 @@
         }
         let open: Vec<&ReplicaView> =
             ready.iter().copied().filter(|view| view.takes_work(now)).collect();
-        match ready.iter().map(|view| view.standing.takes_work_from(now)).min() {
+        match ready.iter().map(|view| view.standing.next_request_time(now)).min() {
             Some(soonest) if open.is_empty() => EligibleReplicas::AvailableAt(soonest),
             _ => EligibleReplicas::Open(self.prefer_near(open, query.model.as_deref(), now)),
         }
--- a/quillcove_core/src/relay/machine/told.rs
+++ b/quillcove_core/src/relay/machine/told.rs
@@ -1,22 +1,22 @@
 //! Applies single changes of the store, as this relay reads them or as another relay sends them.
 
-use super::{BeliefChange, RelayMachine};
+use super::{RelayMachine, StateChange};
 use crate::ids::MonoTime;
 use crate::relay::beacon::HeldAdapter;
-use crate::relay::change_word::{ChangeBeacon, ToldChange, ToldEvent};
+use crate::relay::change_word::{StoreChange, StoreChangeEvent, StoreChangeMessage};
 use crate::relay::published::{StoreEvent, StorePart};
 use crate::relay::replica::ReplicaRecord;
-use crate::relay::sheet_change::SheetChange;
+use crate::relay::sheet_change::ConfigChange;
 
 /// The result of a store change.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EventEffect {
     /// Changes of this relay's state.
-    pub changes: Vec<BeliefChange>,
+    pub changes: Vec<StateChange>,
     /// Whether the change is relevant to relays.
     pub matters: bool,
     /// The change in the form to send to other relays; `None` when it is not relevant or has to be read from the store.
-    pub told: Option<ToldEvent>,
+    pub update: Option<StoreChangeEvent>,
 }
 
 impl RelayMachine {
@@ -40,26 +40,26 @@
         // already, but not to relays that have read the older copy.
         let mut matters = !is_whole && event.part() == StorePart::Operator;
         let mut sheet_change = None;
-        let changes: Vec<BeliefChange> = match event {
+        let changes: Vec<StateChange> = match event {
             StoreEvent::Sheet(sheet) => {
                 let version = sheet.version;
                 let before = self.sheet.clone();
-                let is_applied = self.take_sheet(*sheet);
+                let is_applied = self.apply_configuration(*sheet);
                 let after = self.sheet.as_ref();
                 sheet_change = before
                     .zip(after)
                     .filter(|_| is_applied)
-                    .and_then(|(old, new)| SheetChange::between(&old, new));
-                is_applied.then_some(BeliefChange::Sheet(version)).into_iter().collect()
+                    .and_then(|(old, new)| ConfigChange::between(&old, new));
+                is_applied.then_some(StateChange::Configuration(version)).into_iter().collect()
             },
             StoreEvent::Version(key, version) => {
                 let has_changed = self.newest(&key) != Some(version);
                 self.take_version(key.clone(), version, !is_whole, now);
-                let change = BeliefChange::Version(HeldAdapter { key, version });
+                let change = StateChange::Version(HeldAdapter { key, version });
                 has_changed.then_some(change).into_iter().collect()
             },
-            StoreEvent::HallEmptied(hall) => self.set_emptied(&hall, true).into_iter().collect(),
-            StoreEvent::HallInUse(hall) => self.set_emptied(&hall, false).into_iter().collect(),
+            StoreEvent::HallEmptied(hall) => self.set_evacuated(&hall, true).into_iter().collect(),
+            StoreEvent::HallInUse(hall) => self.set_evacuated(&hall, false).into_iter().collect(),
             StoreEvent::Replica(record) => self.list(record, now),
             StoreEvent::ReplicaGone(id) => {
                 // The replica may have been removed here for another reason and still be listed by other relays.
@@ -69,19 +69,23 @@
         };
         matters |= !changes.is_empty();
         let told = match sheet_change {
-            Some(change) => Some(ToldEvent::Sheet(change)),
+            Some(change) => Some(StoreChangeEvent::Sheet(change)),
             None => self.unconfirmed_entry(&changes, now).or(told),
         };
-        EventEffect { told: told.filter(|_| matters), changes, matters }
+        EventEffect { update: told.filter(|_| matters), changes, matters }
     }
 
     /// Returns the entry of an unconfirmed replica in the form to send. Other relays may not know that the store was
     /// unavailable, so the entry is sent as unconfirmed rather than removed.
-    fn unconfirmed_entry(&self, changes: &[BeliefChange], now: MonoTime) -> Option<ToldEvent> {
-        let [BeliefChange::Doubted(id)] = changes else {
+    fn unconfirmed_entry(
+        &self,
+        changes: &[StateChange],
+        now: MonoTime,
+    ) -> Option<StoreChangeEvent> {
+        let [StateChange::Unconfirmed(id)] = changes else {
             return None;
         };
-        self.doubt.entry(id, now).map(ToldEvent::Lapsed)
+        self.doubt.entry(id, now).map(StoreChangeEvent::Lapsed)
     }
 
     /// Applies store changes that another relay of the hall has read. Returns `None` when this relay lacks the changes
@@ -89,16 +93,20 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::change_word::ChangeBeacon;
+    /// use quillcove_core::relay::change_word::StoreChangeMessage;
     /// use quillcove_core::relay::machine::{RelayMachine, RelayRules};
     /// use quillcove_core::relay::published::StorePart;
     ///
     /// let (part, age) = (StorePart::Replicas, Duration::ZERO);
-    /// let update = ChangeBeacon { part, era: 0, after: 3, revision: 5, age, changes: Vec::new() };
+    /// let update = StoreChangeMessage { part, era: 0, after: 3, revision: 5, age, changes: Vec::new() };
     /// let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    /// assert!(machine.take_told(&update, Duration::ZERO).is_none());
+    /// assert!(machine.apply_update(&update, Duration::ZERO).is_none());
     /// ```
-    pub fn take_told(&mut self, update: &ChangeBeacon, now: MonoTime) -> Option<Vec<BeliefChange>> {
+    pub fn apply_update(
+        &mut self,
+        update: &StoreChangeMessage,
+        now: MonoTime,
+    ) -> Option<Vec<StateChange>> {
         let known = self.read().of(update.part);
         let follows = update.begin() <= known && known < update.end();
         if !follows || !self.knowledge.has_read(update.part) {
@@ -121,20 +129,22 @@
 
     fn apply_received_event(
         &mut self,
-        change: &ToldChange,
+        change: &StoreChange,
         now: MonoTime,
-    ) -> Option<Vec<BeliefChange>> {
+    ) -> Option<Vec<StateChange>> {
         match &change.event {
-            ToldEvent::Published(event) => Some(self.take_event(event.clone(), false, now).changes),
-            ToldEvent::Sheet(change) => {
+            StoreChangeEvent::Published(event) => {
+                Some(self.take_event(event.clone(), false, now).changes)
+            },
+            StoreChangeEvent::Sheet(change) => {
                 let sheet = change.apply(self.sheet.as_ref()?)?;
                 let event = StoreEvent::Sheet(Box::new(sheet));
                 Some(self.take_event(event, false, now).changes)
             },
-            ToldEvent::Lapsed(entry) => {
+            StoreChangeEvent::Lapsed(entry) => {
                 self.table.get(&entry.replica)?;
-                self.doubt_replica(&entry.replica, now + entry.left);
-                Some(vec![BeliefChange::Doubted(entry.replica.clone())])
+                self.mark_unconfirmed(&entry.replica, now + entry.left);
+                Some(vec![StateChange::Unconfirmed(entry.replica.clone())])
             },
         }
     }
@@ -142,13 +152,13 @@
 
 /// Returns a store change in the form to send to other relays; `None` for a whole configuration, which is too large.
 /// The adapters of an engine are left out, since its loader reports them.
-fn event_to_send(event: &StoreEvent) -> Option<ToldEvent> {
+fn event_to_send(event: &StoreEvent) -> Option<StoreChangeEvent> {
     match event {
         StoreEvent::Sheet(_) => None,
         StoreEvent::Replica(record) => {
             let record = ReplicaRecord { adapters: Vec::new(), ..record.clone() };
-            Some(ToldEvent::Published(StoreEvent::Replica(record)))
+            Some(StoreChangeEvent::Published(StoreEvent::Replica(record)))
         },
-        other => Some(ToldEvent::Published(other.clone())),
+        other => Some(StoreChangeEvent::Published(other.clone())),
     }
 }
--- a/quillcove_core/src/relay/machine/view.rs
+++ b/quillcove_core/src/relay/machine/view.rs
@@ -13,7 +13,7 @@
 use crate::ids::MonoTime;
 use crate::relay::position::ReadPositions;
 use crate::relay::replica::{ReplicaRecord, ReplicaView};
-use crate::relay::sheet::SheetVersion;
+use crate::relay::sheet::ConfigVersion;
 use crate::standing::LeavingSource;
 use crate::standing::limit::RateLimit;
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct RelayView {
     /// Version of the configuration in force, 0 for none.
-    pub sheet: SheetVersion,
+    pub sheet: ConfigVersion,
     /// Number of routes in the configuration.
     pub routes: usize,
     /// Positions in the store up to which the relay knows its parts.
@@ -106,13 +106,13 @@
             has_report: view.report(now).is_some(),
             leaving_ms: view.leaving_since().map(age),
             leaving_by: view.standing.leaving().map(|word| word.source),
-            rest_left_ms: view.standing.rest_end(now).map(|end| millis(end.saturating_sub(now))),
-            may_take: view.standing.left(now),
+            rest_left_ms: view.standing.pause_end(now).map(|end| millis(end.saturating_sub(now))),
+            may_take: view.standing.remaining_requests(now),
             limit: view.standing.limit().map(RateLimit::rate),
             next_in_ms: view
                 .standing
                 .limit()
-                .map(|_| millis(view.standing.takes_work_from(now).saturating_sub(now))),
+                .map(|_| millis(view.standing.next_request_time(now).saturating_sub(now))),
         };
         RelayView {
             key_age_ms: self.knowledge.proved_at().map(age),
--- a/quillcove_core/src/relay/policy.rs
+++ b/quillcove_core/src/relay/policy.rs
@@ -46,7 +46,7 @@
 
 impl PlacementRule {
     /// Returns whether an engine must have a free adapter slot.
-    pub(super) fn needs_spare(self) -> bool {
+    pub(super) fn needs_free_slot(self) -> bool {
         match self {
             Self::SpareIdle | Self::Spare => true,
             Self::Even => false,
--- a/quillcove_core/src/relay/promise.rs
+++ b/quillcove_core/src/relay/promise.rs
@@ -18,7 +18,7 @@
 
 /// The outcome of a load estimate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PromiseFate {
+pub enum EstimateOutcome {
     /// The adapter was loaded earlier than estimated, by this time.
     Early(Duration),
     /// The adapter was loaded later than estimated, by this time.
@@ -29,11 +29,11 @@
 
 /// A load estimate whose outcome is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndedPromise {
+pub struct ResolvedEstimate {
     /// The adapter.
     pub key: AdapterKey,
     /// Outcome of the estimate.
-    pub fate: PromiseFate,
+    pub fate: EstimateOutcome,
 }
 
 /// The load estimates given to callers of one relay.
@@ -41,33 +41,33 @@
 /// ```
 /// use std::time::Duration;
 /// use quillcove_core::relay::beacon::AdapterKey;
-/// use quillcove_core::relay::promise::{PromiseBook, PromiseFate};
+/// use quillcove_core::relay::promise::{LoadEstimates, EstimateOutcome};
 ///
 /// let key = AdapterKey { model: "m".into(), adapter: "a1".into() };
-/// let mut book = PromiseBook::default();
-/// book.tell(&key, Duration::from_secs(3));
+/// let mut book = LoadEstimates::default();
+/// book.record_estimate(&key, Duration::from_secs(3));
 /// book.note_held(|held| *held == key, Duration::from_secs(4));
-/// assert_eq!(book.take_ended()[0].fate, PromiseFate::Late(Duration::from_secs(1)));
+/// assert_eq!(book.take_ended()[0].fate, EstimateOutcome::Late(Duration::from_secs(1)));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct PromiseBook {
+pub struct LoadEstimates {
     open_estimates: BTreeMap<AdapterKey, MonoTime>,
-    resolved: Vec<EndedPromise>,
+    resolved: Vec<ResolvedEstimate>,
 }
 
-impl PromiseBook {
+impl LoadEstimates {
     /// Records that a caller was given the estimated load time of an adapter. While an estimate is open for
     /// the adapter, further ones are ignored.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::relay::beacon::AdapterKey;
-    /// use quillcove_core::relay::promise::PromiseBook;
+    /// use quillcove_core::relay::promise::LoadEstimates;
     ///
     /// let key = AdapterKey { model: "m".into(), adapter: "a1".into() };
-    /// PromiseBook::default().tell(&key, Duration::from_secs(3));
+    /// LoadEstimates::default().record_estimate(&key, Duration::from_secs(3));
     /// ```
-    pub fn tell(&mut self, key: &AdapterKey, at: MonoTime) {
+    pub fn record_estimate(&mut self, key: &AdapterKey, at: MonoTime) {
         if self.open_estimates.len() < OPEN_ESTIMATE_LIMIT {
             self.open_estimates.entry(key.clone()).or_insert(at);
         }
@@ -77,16 +77,16 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::promise::PromiseBook;
+    /// use quillcove_core::relay::promise::LoadEstimates;
     ///
-    /// PromiseBook::default().note_held(|_| true, Duration::ZERO);
+    /// LoadEstimates::default().note_held(|_| true, Duration::ZERO);
     /// ```
     pub fn note_held(&mut self, is_held: impl Fn(&AdapterKey) -> bool, now: MonoTime) {
         self.resolve(
             |key, _| is_held(key),
             |estimate| match now.checked_sub(estimate) {
-                Some(late) => PromiseFate::Late(late),
-                None => PromiseFate::Early(estimate - now),
+                Some(late) => EstimateOutcome::Late(late),
+                None => EstimateOutcome::Early(estimate - now),
             },
         );
     }
@@ -95,24 +95,24 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::promise::PromiseBook;
+    /// use quillcove_core::relay::promise::LoadEstimates;
     ///
-    /// PromiseBook::default().tick(Duration::ZERO);
+    /// LoadEstimates::default().tick(Duration::ZERO);
     /// ```
     pub fn tick(&mut self, now: MonoTime) {
-        self.resolve(|_, estimate| now >= estimate + MISSED_AFTER, |_| PromiseFate::Missed);
+        self.resolve(|_, estimate| now >= estimate + MISSED_AFTER, |_| EstimateOutcome::Missed);
     }
 
     fn resolve(
         &mut self,
         is_over: impl Fn(&AdapterKey, MonoTime) -> bool,
-        fate: impl Fn(MonoTime) -> PromiseFate,
+        fate: impl Fn(MonoTime) -> EstimateOutcome,
     ) {
         let resolved = &mut self.resolved;
         self.open_estimates.retain(|key, estimate| {
             let is_over = is_over(key, *estimate);
             if is_over {
-                resolved.push(EndedPromise { key: key.clone(), fate: fate(*estimate) });
+                resolved.push(ResolvedEstimate { key: key.clone(), fate: fate(*estimate) });
             }
             !is_over
         });
@@ -121,11 +121,11 @@
     /// Removes and returns the estimates resolved since the last call.
     ///
     /// ```
-    /// use quillcove_core::relay::promise::PromiseBook;
+    /// use quillcove_core::relay::promise::LoadEstimates;
     ///
-    /// assert!(PromiseBook::default().take_ended().is_empty());
+    /// assert!(LoadEstimates::default().take_ended().is_empty());
     /// ```
-    pub fn take_ended(&mut self) -> Vec<EndedPromise> {
+    pub fn take_ended(&mut self) -> Vec<ResolvedEstimate> {
         std::mem::take(&mut self.resolved)
     }
 }
--- a/quillcove_core/src/relay/published.rs
+++ b/quillcove_core/src/relay/published.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::beacon::{AdapterKey, HeldAdapter, ReplicaId, StartTime};
-use super::knowledge::ProofWord;
+use super::knowledge::FreshnessProof;
 use super::position::ReadPositions;
 use super::replica::ReplicaRecord;
-use super::sheet::RouteSheet;
+use super::sheet::PublishedConfig;
 use crate::ids::{AdapterVersion, HallName};
 
 /// A part of the platform's store. The parts are read separately, so a relay may know one up to a
@@ -28,7 +28,7 @@
 
 /// A replica whose entry expired while the store was unreachable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LapsedEntry {
+pub struct ExpiredEntry {
     /// The replica.
     pub replica: ReplicaId,
     /// Time that the entry has left to reappear before the replica is given up.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreEvent {
     /// A new configuration.
-    Sheet(Box<RouteSheet>),
+    Sheet(Box<PublishedConfig>),
     /// The newest version of an adapter.
     Version(AdapterKey, AdapterVersion),
     /// The entry of a replica was added or changed.
@@ -139,9 +139,9 @@
     /// Positions from which on changes were followed.
     pub since: ReadPositions,
     /// Freshness proof of the operator's part, with its age; `None` without one.
-    pub proof: Option<ProofWord>,
+    pub proof: Option<FreshnessProof>,
     /// The configuration in force; `None` before the first.
-    pub sheet: Option<RouteSheet>,
+    pub sheet: Option<PublishedConfig>,
     /// Newest versions of adapters.
     pub versions: Vec<HeldAdapter>,
     /// Evacuated halls.
@@ -150,7 +150,7 @@
     pub replicas: Vec<ReplicaRecord>,
     /// Listed replicas whose entries expired while the store was unreachable; they are given up
     /// unless their entries reappear.
-    pub lapsed: Vec<LapsedEntry>,
+    pub lapsed: Vec<ExpiredEntry>,
     /// Replicas that have announced themselves that they are draining; the list may not show it
     /// yet.
     pub leaving: Vec<LeavingReplica>,
--- a/quillcove_core/src/relay/reading.rs
+++ b/quillcove_core/src/relay/reading.rs
@@ -28,7 +28,7 @@
 
 /// A prompt as it is sent to an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReadingPrompt {
+pub struct PrefillPrompt {
     /// Tokens of the prompt.
     pub tokens: u32,
     /// Rank at the engine; lower ones go first.
@@ -82,25 +82,25 @@
 
 /// Averages over all engines of a service.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadingNorm {
+pub struct PrefillAverages {
     token_time: TokenTimeEstimate,
     /// Mean tokens of a prompt.
     mean_prompt_tokens: f64,
 }
 
-impl Default for ReadingNorm {
+impl Default for PrefillAverages {
     fn default() -> Self {
         Self { token_time: TokenTimeEstimate::default(), mean_prompt_tokens: INITIAL_PROMPT_TOKENS }
     }
 }
 
-impl ReadingNorm {
+impl PrefillAverages {
     /// Records the size of a prompt that is sent.
     ///
     /// ```
-    /// use quillcove_core::relay::reading::ReadingNorm;
+    /// use quillcove_core::relay::reading::PrefillAverages;
     ///
-    /// ReadingNorm::default().note_prompt(500);
+    /// PrefillAverages::default().note_prompt(500);
     /// ```
     pub fn note_prompt(&mut self, tokens: u32) {
         self.mean_prompt_tokens += (f64::from(tokens) - self.mean_prompt_tokens) * SAMPLE_DECAY;
@@ -122,38 +122,38 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quillcove_core::relay::reading::{ReadingNorm, ReadingPrompt, ReadingQueue};
+/// use quillcove_core::relay::reading::{PrefillAverages, PrefillPrompt, PrefillQueue};
 ///
-/// let prompt = ReadingPrompt { tokens: 1000, rank: 0 };
-/// let (mut queue, mut averages) = (ReadingQueue::default(), ReadingNorm::default());
-/// let alone = queue.time_to_read(prompt, &averages);
+/// let prompt = PrefillPrompt { tokens: 1000, rank: 0 };
+/// let (mut queue, mut averages) = (PrefillQueue::default(), PrefillAverages::default());
+/// let alone = queue.time_to_first_event(prompt, &averages);
 /// queue.begin(1, prompt, &averages, Duration::ZERO);
-/// assert!(queue.time_to_read(prompt, &averages) > alone);
+/// assert!(queue.time_to_first_event(prompt, &averages) > alone);
 /// queue.end(1, Some(Duration::from_millis(300)), &mut averages);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct ReadingQueue {
+pub struct PrefillQueue {
     attempts: BTreeMap<ReadingNumber, PendingAttempt>,
     /// Requests of other relays that waited at the last report.
     others_waiting: u32,
     token_time: TokenTimeEstimate,
 }
 
-impl ReadingQueue {
+impl PrefillQueue {
     /// Records that a prompt is sent.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::reading::{ReadingNorm, ReadingPrompt, ReadingQueue};
+    /// use quillcove_core::relay::reading::{PrefillAverages, PrefillPrompt, PrefillQueue};
     ///
-    /// let prompt = ReadingPrompt { tokens: 5000, rank: 0 };
-    /// ReadingQueue::default().begin(1, prompt, &ReadingNorm::default(), Duration::ZERO);
+    /// let prompt = PrefillPrompt { tokens: 5000, rank: 0 };
+    /// PrefillQueue::default().begin(1, prompt, &PrefillAverages::default(), Duration::ZERO);
     /// ```
     pub fn begin(
         &mut self,
         number: ReadingNumber,
-        prompt: ReadingPrompt,
-        averages: &ReadingNorm,
+        prompt: PrefillPrompt,
+        averages: &PrefillAverages,
         now: MonoTime,
     ) {
         let tokens_ahead = self.tokens_before(prompt.rank, averages);
@@ -165,15 +165,15 @@
     /// Records that an attempt had its first event at `first_event_at`, or ended without one.
     ///
     /// ```
-    /// use quillcove_core::relay::reading::{ReadingNorm, ReadingQueue};
+    /// use quillcove_core::relay::reading::{PrefillAverages, PrefillQueue};
     ///
-    /// ReadingQueue::default().end(1, None, &mut ReadingNorm::default());
+    /// PrefillQueue::default().end(1, None, &mut PrefillAverages::default());
     /// ```
     pub fn end(
         &mut self,
         number: ReadingNumber,
         first_event_at: Option<MonoTime>,
-        averages: &mut ReadingNorm,
+        averages: &mut PrefillAverages,
     ) {
         let Some(attempt) = self.attempts.remove(&number) else {
             return;
@@ -189,9 +189,9 @@
     /// Records the number of requests that wait at the engine, those of this relay included.
     ///
     /// ```
-    /// use quillcove_core::relay::reading::ReadingQueue;
+    /// use quillcove_core::relay::reading::PrefillQueue;
     ///
-    /// ReadingQueue::default().report(3);
+    /// PrefillQueue::default().report(3);
     /// ```
     pub fn report(&mut self, waiting: u32) {
         self.others_waiting = waiting.saturating_sub(self.attempts.len() as u32);
@@ -199,7 +199,7 @@
 
     /// Estimates the tokens that the engine processes before a prompt of this rank that is sent
     /// now. The ranks of other relays' prompts are unknown; they are assumed to go first.
-    fn tokens_before(&self, rank: u8, averages: &ReadingNorm) -> f64 {
+    fn tokens_before(&self, rank: u8, averages: &PrefillAverages) -> f64 {
         let ahead = self.attempts.values().filter(|attempt| attempt.rank <= rank);
         let own: f64 = ahead.map(|attempt| attempt.tokens).sum();
         own + f64::from(self.others_waiting) * averages.mean_prompt_tokens
@@ -208,12 +208,12 @@
     /// Estimates the time until the engine has processed all prompts that it has now.
     ///
     /// ```
-    /// use quillcove_core::relay::reading::{ReadingNorm, ReadingQueue};
+    /// use quillcove_core::relay::reading::{PrefillAverages, PrefillQueue};
     ///
-    /// let time = ReadingQueue::default().backlog(&ReadingNorm::default());
+    /// let time = PrefillQueue::default().backlog(&PrefillAverages::default());
     /// assert_eq!(time, std::time::Duration::ZERO);
     /// ```
-    pub fn backlog(&self, averages: &ReadingNorm) -> Duration {
+    pub fn backlog(&self, averages: &PrefillAverages) -> Duration {
         Duration::from_secs_f64(
             self.tokens_before(u8::MAX, averages)
                 * self.token_time.blended_with(&averages.token_time),
@@ -223,13 +223,17 @@
     /// Estimates the time until the first event of a request with this prompt that is sent now.
     ///
     /// ```
-    /// use quillcove_core::relay::reading::{ReadingNorm, ReadingPrompt, ReadingQueue};
+    /// use quillcove_core::relay::reading::{PrefillAverages, PrefillPrompt, PrefillQueue};
     ///
-    /// let prompt = ReadingPrompt { tokens: 1000, rank: 0 };
-    /// let time = ReadingQueue::default().time_to_read(prompt, &ReadingNorm::default());
+    /// let prompt = PrefillPrompt { tokens: 1000, rank: 0 };
+    /// let time = PrefillQueue::default().time_to_first_event(prompt, &PrefillAverages::default());
     /// assert!(time > std::time::Duration::ZERO);
     /// ```
-    pub fn time_to_read(&self, prompt: ReadingPrompt, averages: &ReadingNorm) -> Duration {
+    pub fn time_to_first_event(
+        &self,
+        prompt: PrefillPrompt,
+        averages: &PrefillAverages,
+    ) -> Duration {
         let own = f64::from(prompt.tokens).max(MIN_PROMPT_TOKENS);
         let token_time = self.token_time.blended_with(&averages.token_time);
         Duration::from_secs_f64((self.tokens_before(prompt.rank, averages) + own) * token_time)
--- a/quillcove_core/src/relay/replica/mod.rs
+++ b/quillcove_core/src/relay/replica/mod.rs
@@ -15,10 +15,10 @@
 pub use self::table::ReplicaTable;
 use super::beacon::{AdapterKey, AdapterUse, EngineReport, HeldAdapter, ReplicaId, StartTime};
 use super::position::StorePosition;
-use super::reading::ReadingQueue;
+use super::reading::PrefillQueue;
 use super::sheet::ModelRecord;
 use crate::ids::{AdapterVersion, HallName, ModelName, MonoTime, ServiceName};
-use crate::standing::UpstreamStanding;
+use crate::standing::UpstreamStatus;
 
 /// Age up to which a loader's report takes precedence over the platform's listing. Loaders report
 /// at least every 500 ms, so this tolerates two lost datagrams.
@@ -105,7 +105,7 @@
 
 /// Outcome of an attempt at a replica, with regard to the replica's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptFate {
+pub enum AttemptOutcome {
     /// It answered normally.
     Answered,
     /// It rejected the request: it is full, or does not have the expected identity or adapter.
@@ -124,7 +124,7 @@
     /// Requests of this process in flight.
     pub in_flight: u32,
     /// What it has reported about itself in its answers.
-    pub standing: UpstreamStanding,
+    pub standing: UpstreamStatus,
     /// Since when its loader has reported it as draining.
     reported_draining_since: Option<MonoTime>,
     /// Whether the operator has its hall evacuated.
@@ -132,7 +132,7 @@
     /// Whether its entry is missing from the store but may come back.
     is_unconfirmed: bool,
     /// Whether it belongs to this relay's cell.
-    pub is_near: bool,
+    pub is_in_cell: bool,
     /// When its listing was last read.
     listed_at: MonoTime,
     /// The last report of its loader, and when it was received.
@@ -146,7 +146,7 @@
     /// Requests of this process sent since that report.
     sent_since_report: u32,
     /// Prompts that it has not read yet.
-    pub reading: ReadingQueue,
+    pub reading: PrefillQueue,
     /// Use of its adapters by this process.
     uses: BTreeMap<AdapterKey, AdapterUse>,
     failures: u32,
@@ -160,18 +160,18 @@
         Self {
             record,
             in_flight: 0,
-            standing: UpstreamStanding::default(),
+            standing: UpstreamStatus::default(),
             reported_draining_since: None,
             is_hall_evacuated: false,
             is_unconfirmed: false,
-            is_near: true,
+            is_in_cell: true,
             listed_at: now,
             report: None,
             free_slots: None,
             fleet_uses: Vec::new(),
             empty_since: None,
             sent_since_report: 0,
-            reading: ReadingQueue::default(),
+            reading: PrefillQueue::default(),
             uses: BTreeMap::new(),
             failures: 0,
             ejections: 0,
@@ -256,9 +256,9 @@
     ///
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
-    /// assert!(!table.get("i-1").unwrap().is_heard_since(Duration::ZERO));
+    /// assert!(!table.get("i-1").unwrap().has_received_since(Duration::ZERO));
     /// ```
-    pub fn is_heard_since(&self, at: MonoTime) -> bool {
+    pub fn has_received_since(&self, at: MonoTime) -> bool {
         self.last_received > at
     }
 
@@ -343,9 +343,9 @@
     ///
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
-    /// assert!(!table.get("i-1").unwrap().is_doubted());
+    /// assert!(!table.get("i-1").unwrap().is_unconfirmed());
     /// ```
-    pub fn is_doubted(&self) -> bool {
+    pub fn is_unconfirmed(&self) -> bool {
         self.is_unconfirmed
     }
 
@@ -471,7 +471,7 @@
     /// ```
     pub fn load(&self, now: MonoTime) -> f64 {
         let waiting = self.report(now).map_or(0, |report| report.waiting + self.sent_since_report);
-        self.share_of_places(now) + f64::from(waiting) * WAITING_REQUEST_LOAD
+        self.utilization(now) + f64::from(waiting) * WAITING_REQUEST_LOAD
     }
 
     /// Returns its requests as a fraction of its capacity, as far as this process knows.
@@ -482,9 +482,9 @@
     ///
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
-    /// assert_eq!(table.get("i-1").unwrap().share_of_places(Duration::ZERO), 0.0);
+    /// assert_eq!(table.get("i-1").unwrap().utilization(Duration::ZERO), 0.0);
     /// ```
-    pub fn share_of_places(&self, now: MonoTime) -> f64 {
+    pub fn utilization(&self, now: MonoTime) -> f64 {
         let requests = match self.report(now) {
             Some(report) => {
                 (report.running + report.waiting + self.sent_since_report).max(self.in_flight)
--- a/quillcove_core/src/relay/replica/table.rs
+++ b/quillcove_core/src/relay/replica/table.rs
@@ -11,8 +11,8 @@
 use super::{ReplicaRecord, ReplicaState, ReplicaView};
 use crate::ids::{HallName, MonoTime, ServiceName};
 use crate::relay::beacon::{AdapterKey, AdapterUse, EngineGauges, EngineReport, ReplicaId};
-use crate::relay::reading::{ReadingNorm, ReadingNumber, ReadingPrompt};
-use crate::standing::{LeavingSource, UpstreamStanding};
+use crate::relay::reading::{PrefillAverages, PrefillPrompt, ReadingNumber};
+use crate::standing::{LeavingSource, UpstreamStatus};
 
 /// All known replicas.
 #[derive(Clone, Debug, Default)]
@@ -23,7 +23,7 @@
     /// grow with the square of the fleet.
     by_address: HashMap<SocketAddr, BTreeSet<ReplicaId>>,
     /// Reading speed and prompt sizes common to the engines of each service.
-    reading_norms: BTreeMap<ServiceName, ReadingNorm>,
+    reading_norms: BTreeMap<ServiceName, PrefillAverages>,
     /// Engines without a free adapter slot on which this process has stopped using an adapter.
     freed_engines: BTreeSet<ReplicaId>,
     /// Evacuated halls.
@@ -88,10 +88,10 @@
     ///
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
-    /// table.doubt("i-1");
+    /// table.mark_unconfirmed("i-1");
     /// assert!(!table.get("i-1").unwrap().seems_well(Duration::ZERO));
     /// ```
-    pub fn doubt(&mut self, id: &str) {
+    pub fn mark_unconfirmed(&mut self, id: &str) {
         if let Some(view) = self.replicas.get_mut(id) {
             view.is_unconfirmed = true;
         }
@@ -107,11 +107,11 @@
     ///
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
-    /// table.remove_gone("i-1");
+    /// table.remove_with_tombstone("i-1");
     /// let created = StorePosition { era: 1, ..example_record("i-1").created };
-    /// assert!(table.has_departed(&ReplicaRecord { created, ..example_record("i-1") }));
+    /// assert!(table.has_tombstone(&ReplicaRecord { created, ..example_record("i-1") }));
     /// ```
-    pub fn has_departed(&self, record: &ReplicaRecord) -> bool {
+    pub fn has_tombstone(&self, record: &ReplicaRecord) -> bool {
         self.tombstones.covers(record)
     }
 
@@ -124,10 +124,10 @@
     ///
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
-    /// assert!(table.set_emptied("hall-a", true));
+    /// assert!(table.set_evacuated("hall-a", true));
     /// assert!(!table.get("i-1").unwrap().is_ready());
     /// ```
-    pub fn set_emptied(&mut self, hall: &str, is_evacuated: bool) -> bool {
+    pub fn set_evacuated(&mut self, hall: &str, is_evacuated: bool) -> bool {
         let is_change = match is_evacuated {
             true => self.evacuated_halls.insert(hall.to_string()),
             false => self.evacuated_halls.remove(hall),
@@ -149,13 +149,13 @@
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
     /// table.set_near(BTreeSet::new(), &[]);
-    /// assert!(!table.get("i-1").unwrap().is_near);
+    /// assert!(!table.get("i-1").unwrap().is_in_cell);
     /// table.set_near(BTreeSet::new(), &["s".to_string()]);
-    /// assert!(table.get("i-1").unwrap().is_near);
+    /// assert!(table.get("i-1").unwrap().is_in_cell);
     /// ```
     pub fn set_near(&mut self, near: BTreeSet<ReplicaId>, lost: &[ServiceName]) {
         for (id, view) in &mut self.replicas {
-            view.is_near = near.contains(id) || lost.contains(&view.record.service);
+            view.is_in_cell = near.contains(id) || lost.contains(&view.record.service);
         }
     }
 
@@ -199,7 +199,7 @@
             return false;
         };
         self.remove_address(view.record.address, id);
-        if view.standing != UpstreamStanding::default() {
+        if view.standing != UpstreamStatus::default() {
             *self.unlisted.status_mut(id, view.record.born) = view.standing;
         }
         true
@@ -211,9 +211,9 @@
     /// ```
     /// use quillcove_core::relay::replica::ReplicaTable;
     ///
-    /// assert!(!ReplicaTable::default().remove_gone("i-1"));
+    /// assert!(!ReplicaTable::default().remove_with_tombstone("i-1"));
     /// ```
-    pub fn remove_gone(&mut self, id: &str) -> bool {
+    pub fn remove_with_tombstone(&mut self, id: &str) -> bool {
         if let Some(view) = self.replicas.get(id) {
             self.tombstones.add(&view.record);
         }
@@ -274,7 +274,7 @@
         let predecessors = self.replicas_at(record.address).filter(is_predecessor);
         let ids: Vec<ReplicaId> = predecessors.map(|view| view.record.id.clone()).collect();
         for id in &ids {
-            self.remove_gone(id);
+            self.remove_with_tombstone(id);
         }
         ids
     }
@@ -323,9 +323,14 @@
     ///
     /// let engine = "127.0.0.1:1".parse().unwrap();
     /// let gauges = EngineGauges::default();
-    /// assert!(!ReplicaTable::default().gauge(engine, &gauges, Duration::ZERO));
+    /// assert!(!ReplicaTable::default().record_gauges(engine, &gauges, Duration::ZERO));
     /// ```
-    pub fn gauge(&mut self, address: SocketAddr, gauges: &EngineGauges, now: MonoTime) -> bool {
+    pub fn record_gauges(
+        &mut self,
+        address: SocketAddr,
+        gauges: &EngineGauges,
+        now: MonoTime,
+    ) -> bool {
         let id = self.at(address).map(|view| view.record.id.clone());
         let Some(view) = id.and_then(|id| self.replicas.get_mut(&id)) else {
             return false;
@@ -347,7 +352,7 @@
     /// ```
     /// quillcove_core::relay::replica::ReplicaTable::default().norm("s");
     /// ```
-    pub fn norm(&self, service: &str) -> ReadingNorm {
+    pub fn norm(&self, service: &str) -> PrefillAverages {
         self.reading_norms.get(service).copied().unwrap_or_default()
     }
 
@@ -355,17 +360,17 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::reading::ReadingPrompt;
+    /// use quillcove_core::relay::reading::PrefillPrompt;
     /// use quillcove_core::relay::replica::ReplicaTable;
     ///
-    /// let prompt = ReadingPrompt { tokens: 1000, rank: 0 };
+    /// let prompt = PrefillPrompt { tokens: 1000, rank: 0 };
     /// ReplicaTable::default().begin_reading("i-1", 1, prompt, Duration::ZERO);
     /// ```
     pub fn begin_reading(
         &mut self,
         id: &str,
         number: ReadingNumber,
-        prompt: ReadingPrompt,
+        prompt: PrefillPrompt,
         now: MonoTime,
     ) {
         if let Some(view) = self.replicas.get_mut(id) {
@@ -465,9 +470,9 @@
     /// use quillcove_core::relay::replica::ReplicaTable;
     ///
     /// let key = AdapterKey { model: "m".into(), adapter: "a1".into() };
-    /// ReplicaTable::default().lacks("i-1", &key);
+    /// ReplicaTable::default().remove_adapter("i-1", &key);
     /// ```
-    pub fn lacks(&mut self, id: &str, key: &AdapterKey) {
+    pub fn remove_adapter(&mut self, id: &str, key: &AdapterKey) {
         if let Some(view) = self.replicas.get_mut(id) {
             view.record.adapters.retain(|held| held.key != *key);
             if let Some((report, _)) = &mut view.report {
--- a/quillcove_core/src/relay/replica/table/attempts.rs
+++ b/quillcove_core/src/relay/replica/table/attempts.rs
@@ -5,7 +5,7 @@
 use super::ReplicaTable;
 use crate::ids::MonoTime;
 use crate::relay::beacon::{AdapterKey, AdapterUse};
-use crate::relay::replica::AttemptFate;
+use crate::relay::replica::AttemptOutcome;
 
 /// Consecutive failures after which a replica is ejected for a while.
 const EJECT_FAILURES: u32 = 3;
@@ -48,9 +48,9 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::replica::ReplicaTable;
     ///
-    /// ReplicaTable::default().hear("i-1", Duration::ZERO);
+    /// ReplicaTable::default().record_bytes_received("i-1", Duration::ZERO);
     /// ```
-    pub fn hear(&mut self, id: &str, now: MonoTime) {
+    pub fn record_bytes_received(&mut self, id: &str, now: MonoTime) {
         if let Some(view) = self.replicas.get_mut(id) {
             view.last_received = now;
         }
@@ -60,18 +60,18 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::replica::{AttemptFate, ReplicaTable, example_record};
+    /// use quillcove_core::relay::replica::{AttemptOutcome, ReplicaTable, example_record};
     ///
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
-    /// let mut fail = || table.end("i-1", None, AttemptFate::Failed, Duration::ZERO);
+    /// let mut fail = || table.end("i-1", None, AttemptOutcome::Failed, Duration::ZERO);
     /// assert_eq!([fail(), fail(), fail()], [false, false, true]);
     /// ```
     pub fn end(
         &mut self,
         id: &str,
         key: Option<&AdapterKey>,
-        fate: AttemptFate,
+        fate: AttemptOutcome,
         now: MonoTime,
     ) -> bool {
         let Some(view) = self.replicas.get_mut(id) else {
@@ -85,18 +85,18 @@
             }
         }
         match fate {
-            AttemptFate::Answered => {
+            AttemptOutcome::Answered => {
                 view.failures = 0;
                 view.ejections = 0;
                 view.last_received = now;
                 false
             },
-            AttemptFate::Refused => {
+            AttemptOutcome::Refused => {
                 view.last_received = now;
                 false
             },
-            AttemptFate::Abandoned => false,
-            AttemptFate::Failed => {
+            AttemptOutcome::Abandoned => false,
+            AttemptOutcome::Failed => {
                 view.failures += 1;
                 let is_ejected = view.failures >= EJECT_FAILURES;
                 if is_ejected {
--- a/quillcove_core/src/relay/replica/table/words.rs
+++ b/quillcove_core/src/relay/replica/table/words.rs
@@ -8,7 +8,7 @@
 use crate::relay::beacon::StartTime;
 use crate::standing::limit::RateLimit;
 use crate::standing::notice::UpstreamNotice;
-use crate::standing::{LeavingSource, StandingChange, UpstreamStanding};
+use crate::standing::{LeavingSource, UpstreamStatus, UpstreamStatusChange};
 
 impl ReplicaTable {
     /// Records what one start of a replica reported about itself in an answer; returns what
@@ -22,18 +22,18 @@
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
     /// let notice = UpstreamNotice { is_leaving: true, rest: None, limit: None };
-    /// table.note_said("i-1", None, &notice, Duration::ZERO, Duration::ZERO);
+    /// table.record_notice("i-1", None, &notice, Duration::ZERO, Duration::ZERO);
     /// assert!(!table.get("i-1").unwrap().is_ready());
     /// ```
-    pub fn note_said(
+    pub fn record_notice(
         &mut self,
         id: &str,
         born: Option<StartTime>,
         notice: &UpstreamNotice,
         spread: Duration,
         now: MonoTime,
-    ) -> Option<StandingChange> {
-        self.status_mut(id, born)?.take(notice, spread, now)
+    ) -> Option<UpstreamStatusChange> {
+        self.status_mut(id, born)?.record_notice(notice, spread, now)
     }
 
     /// Records another process's report that one start of a replica is draining.
@@ -44,10 +44,10 @@
     ///
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
-    /// table.note_told_leaving("i-1", None, Duration::ZERO);
+    /// table.record_reported_draining("i-1", None, Duration::ZERO);
     /// assert!(!table.get("i-1").unwrap().seems_well(Duration::ZERO));
     /// ```
-    pub fn note_told_leaving(&mut self, id: &str, born: Option<StartTime>, now: MonoTime) {
+    pub fn record_reported_draining(&mut self, id: &str, born: Option<StartTime>, now: MonoTime) {
         if let Some(status) = self.status_mut(id, born) {
             status.note_leaving(LeavingSource::Told, now);
         }
@@ -64,9 +64,9 @@
     /// let mut table = ReplicaTable::default();
     /// table.list(example_record("i-1"), Duration::ZERO);
     /// let (limit, zero) = (RateLimit::per_second(2.0), Duration::ZERO);
-    /// assert!(table.note_told_limit("i-1", None, limit, zero, zero, zero));
+    /// assert!(table.record_reported_limit("i-1", None, limit, zero, zero, zero));
     /// ```
-    pub fn note_told_limit(
+    pub fn record_reported_limit(
         &mut self,
         id: &str,
         born: Option<StartTime>,
@@ -76,7 +76,7 @@
         now: MonoTime,
     ) -> bool {
         let status = self.status_mut(id, born);
-        status.is_some_and(|status| status.note_told_limit(limit, age, spread, now))
+        status.is_some_and(|status| status.record_reported_limit(limit, age, spread, now))
     }
 
     /// Records a successful answer without a limit from one start of a replica to a request sent at
@@ -125,11 +125,17 @@
     /// use quillcove_core::standing::limit::RateLimit;
     ///
     /// let (rate, second) = (RateLimit::per_second(8.0).unwrap(), Duration::from_secs(1));
-    /// assert!(!ReplicaTable::default().note_cold("i-1", rate, second, Duration::ZERO));
+    /// assert!(!ReplicaTable::default().record_warm_up("i-1", rate, second, Duration::ZERO));
     /// ```
-    pub fn note_cold(&mut self, id: &str, rate: RateLimit, until: MonoTime, now: MonoTime) -> bool {
+    pub fn record_warm_up(
+        &mut self,
+        id: &str,
+        rate: RateLimit,
+        until: MonoTime,
+        now: MonoTime,
+    ) -> bool {
         let view = self.replicas.get_mut(id);
-        view.is_some_and(|view| view.standing.note_cold(rate, until, now))
+        view.is_some_and(|view| view.standing.record_warm_up(rate, until, now))
     }
 
     /// Sets the time between two requests of this process to a replica that warms up; `None` if
@@ -139,17 +145,17 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::replica::ReplicaTable;
     ///
-    /// ReplicaTable::default().set_cold_gap("i-1", None, Duration::ZERO);
+    /// ReplicaTable::default().set_warm_up_gap("i-1", None, Duration::ZERO);
     /// ```
-    pub fn set_cold_gap(&mut self, id: &str, gap: Option<Duration>, now: MonoTime) {
+    pub fn set_warm_up_gap(&mut self, id: &str, gap: Option<Duration>, now: MonoTime) {
         if let Some(view) = self.replicas.get_mut(id) {
-            view.standing.set_cold_gap(gap, now);
+            view.standing.set_warm_up_gap(gap, now);
         }
     }
 
     /// Returns the status of one start of a replica for changes; `None` if another start is listed
     /// now.
-    fn status_mut(&mut self, id: &str, born: Option<StartTime>) -> Option<&mut UpstreamStanding> {
+    fn status_mut(&mut self, id: &str, born: Option<StartTime>) -> Option<&mut UpstreamStatus> {
         match self.replicas.get_mut(id) {
             Some(view) => is_same_start(view.record.born, born).then_some(&mut view.standing),
             None => Some(self.unlisted.status_mut(id, born)),
--- a/quillcove_core/src/relay/report_stream.rs
+++ b/quillcove_core/src/relay/report_stream.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::beacon::{EngineBeacon, EngineReport, GaugeBeacon};
+use super::beacon::{EngineHeartbeat, EngineReport, GaugeHeartbeat};
 use crate::ids::MonoTime;
 
 /// Longest time between two full reports. A relay requests one that was lost, so this bounds the
@@ -31,8 +31,8 @@
 ///
 /// let mut sender = ReportSender::default();
 /// let report = EngineReport::default();
-/// assert!(sender.takes_whole(&report, Duration::ZERO));
-/// assert!(!sender.takes_whole(&EngineReport { running: 1, ..report }, Duration::ZERO));
+/// assert!(sender.decide_full(&report, Duration::ZERO));
+/// assert!(!sender.decide_full(&EngineReport { running: 1, ..report }, Duration::ZERO));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ReportSender {
@@ -49,9 +49,9 @@
     /// use quillcove_core::relay::beacon::EngineReport;
     /// use quillcove_core::relay::report_stream::ReportSender;
     ///
-    /// assert!(ReportSender::default().takes_whole(&EngineReport::default(), Duration::ZERO));
+    /// assert!(ReportSender::default().decide_full(&EngineReport::default(), Duration::ZERO));
     /// ```
-    pub fn takes_whole(&mut self, report: &EngineReport, now: MonoTime) -> bool {
+    pub fn decide_full(&mut self, report: &EngineReport, now: MonoTime) -> bool {
         let is_unchanged =
             self.last.as_ref().is_some_and(|(last, _)| has_same_content(last, report));
         let is_recent = self
@@ -91,7 +91,7 @@
 
 /// What a relay does with received gauges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GaugeFate {
+pub enum GaugeOutcome {
     /// Ignored: not newer than the last ones accepted.
     Late,
     /// Accepted: they belong to the content that is known.
@@ -123,11 +123,11 @@
     /// Records a full report. Returns `false` when it is not newer than the last accepted message.
     ///
     /// See [`ReportLedger::take_gauges`] for an example.
-    pub fn take_whole(&mut self, beacon: &EngineBeacon) -> bool {
+    pub fn take_whole(&mut self, beacon: &EngineHeartbeat) -> bool {
         if self.is_stale(beacon.engine, beacon.incarnation, beacon.number) {
             return false;
         }
-        let EngineBeacon { incarnation, number, content, .. } = *beacon;
+        let EngineHeartbeat { incarnation, number, content, .. } = *beacon;
         self.loaders.insert(beacon.engine, AcceptedMessage { incarnation, number, content });
         self.requested_at.remove(&beacon.engine);
         true
@@ -137,10 +137,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::beacon::{EngineGauges, GaugeBeacon};
-    /// use quillcove_core::relay::report_stream::{GaugeFate, ReportLedger};
+    /// use quillcove_core::relay::beacon::{EngineGauges, GaugeHeartbeat};
+    /// use quillcove_core::relay::report_stream::{GaugeOutcome, ReportLedger};
     ///
-    /// let beacon = GaugeBeacon {
+    /// let beacon = GaugeHeartbeat {
     ///     engine: "127.0.0.1:1".parse().unwrap(),
     ///     number: 2,
     ///     incarnation: 1,
@@ -148,11 +148,11 @@
     ///     gauges: EngineGauges::default(),
     /// };
     /// let fate = ReportLedger::default().take_gauges(&beacon, Duration::ZERO);
-    /// assert_eq!(fate, GaugeFate::Lacks { asks: true });
+    /// assert_eq!(fate, GaugeOutcome::Lacks { asks: true });
     /// ```
-    pub fn take_gauges(&mut self, beacon: &GaugeBeacon, now: MonoTime) -> GaugeFate {
+    pub fn take_gauges(&mut self, beacon: &GaugeHeartbeat, now: MonoTime) -> GaugeOutcome {
         if self.is_stale(beacon.engine, beacon.incarnation, beacon.number) {
-            return GaugeFate::Late;
+            return GaugeOutcome::Late;
         }
         let known = self.loaders.get_mut(&beacon.engine);
         let current = known.filter(|accepted| {
@@ -161,11 +161,11 @@
         match current {
             Some(accepted) => {
                 accepted.number = beacon.number;
-                GaugeFate::Fits
+                GaugeOutcome::Fits
             },
             // The number is not recorded: the full report of this content may still arrive after
             // these gauges.
-            None => GaugeFate::Lacks { asks: self.try_request(beacon.engine, now) },
+            None => GaugeOutcome::Lacks { asks: self.try_request(beacon.engine, now) },
         }
     }
 
--- a/quillcove_core/src/relay/roll.rs
+++ b/quillcove_core/src/relay/roll.rs
@@ -23,26 +23,26 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quillcove_core::relay::roll::RelayRoll;
+/// use quillcove_core::relay::roll::RelayMembership;
 ///
-/// let mut roll = RelayRoll::new(7);
-/// assert!(roll.hear("127.0.0.1:1".parse().unwrap(), Duration::ZERO));
-/// assert_eq!(roll.name_some().len(), 1);
+/// let mut roll = RelayMembership::new(7);
+/// assert!(roll.record_heartbeat("127.0.0.1:1".parse().unwrap(), Duration::ZERO));
+/// assert_eq!(roll.next_named().len(), 1);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct RelayRoll {
+pub struct RelayMembership {
     last_heartbeat: BTreeMap<SocketAddr, MonoTime>,
     /// Index in the list from which the next report names relays.
     next: usize,
 }
 
-impl RelayRoll {
+impl RelayMembership {
     /// Creates an empty list; the seed determines the index at which naming starts.
     ///
     /// ```
-    /// use quillcove_core::relay::roll::RelayRoll;
+    /// use quillcove_core::relay::roll::RelayMembership;
     ///
-    /// assert_eq!(RelayRoll::new(7).all().count(), 0);
+    /// assert_eq!(RelayMembership::new(7).all().count(), 0);
     /// ```
     pub fn new(seed: u64) -> Self {
         Self { last_heartbeat: BTreeMap::new(), next: (seed >> 1) as usize }
@@ -52,14 +52,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::roll::RelayRoll;
+    /// use quillcove_core::relay::roll::RelayMembership;
     ///
     /// let relay = "127.0.0.1:1".parse().unwrap();
-    /// let mut roll = RelayRoll::default();
-    /// assert!(roll.hear(relay, Duration::ZERO));
-    /// assert!(!roll.hear(relay, Duration::ZERO));
+    /// let mut roll = RelayMembership::default();
+    /// assert!(roll.record_heartbeat(relay, Duration::ZERO));
+    /// assert!(!roll.record_heartbeat(relay, Duration::ZERO));
     /// ```
-    pub fn hear(&mut self, relay: SocketAddr, now: MonoTime) -> bool {
+    pub fn record_heartbeat(&mut self, relay: SocketAddr, now: MonoTime) -> bool {
         self.last_heartbeat.insert(relay, now).is_none()
     }
 
@@ -67,10 +67,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::relay::roll::RelayRoll;
+    /// use quillcove_core::relay::roll::RelayMembership;
     ///
-    /// let mut roll = RelayRoll::default();
-    /// roll.hear("127.0.0.1:1".parse().unwrap(), Duration::ZERO);
+    /// let mut roll = RelayMembership::default();
+    /// roll.record_heartbeat("127.0.0.1:1".parse().unwrap(), Duration::ZERO);
     /// assert_eq!(roll.forget(Duration::from_secs(3)).len(), 1);
     /// ```
     pub fn forget(&mut self, now: MonoTime) -> Vec<SocketAddr> {
@@ -88,9 +88,9 @@
     /// Returns all relays in the list.
     ///
     /// ```
-    /// use quillcove_core::relay::roll::RelayRoll;
+    /// use quillcove_core::relay::roll::RelayMembership;
     ///
-    /// assert_eq!(RelayRoll::default().all().count(), 0);
+    /// assert_eq!(RelayMembership::default().all().count(), 0);
     /// ```
     pub fn all(&self) -> impl Iterator<Item = SocketAddr> {
         self.last_heartbeat.keys().copied()
@@ -99,11 +99,11 @@
     /// Returns the relays that the next report names, and advances to the ones after them.
     ///
     /// ```
-    /// use quillcove_core::relay::roll::RelayRoll;
+    /// use quillcove_core::relay::roll::RelayMembership;
     ///
-    /// assert!(RelayRoll::default().name_some().is_empty());
+    /// assert!(RelayMembership::default().next_named().is_empty());
     /// ```
-    pub fn name_some(&mut self) -> Vec<SocketAddr> {
+    pub fn next_named(&mut self) -> Vec<SocketAddr> {
         let count = self.last_heartbeat.len();
         if count == 0 {
             return Vec::new();
--- a/quillcove_core/src/relay/routing.rs
+++ b/quillcove_core/src/relay/routing.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::beacon::AdapterKey;
-use super::reading::{ReadingNorm, ReadingPrompt};
+use super::reading::{PrefillAverages, PrefillPrompt};
 use super::replica::ReplicaView;
 use crate::ids::{AdapterVersion, ModelName, MonoTime};
 use crate::rendezvous;
@@ -66,9 +66,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingCost<'a> {
     /// The request's prompt; `None` for plain calls.
-    pub prompt: Option<ReadingPrompt>,
+    pub prompt: Option<PrefillPrompt>,
     /// Average prefill figures of the service's engines, used where an engine's own are not known well.
-    pub norm: &'a ReadingNorm,
+    pub norm: &'a PrefillAverages,
     /// Hall of this process.
     pub hall: &'a str,
 }
@@ -80,9 +80,10 @@
         match self.prompt {
             None => view.load(now) + if is_far { FAR_LOAD_COST } else { 0.0 },
             Some(prompt) => {
-                let reading_time = view.reading.time_to_read(prompt, self.norm).as_secs_f64();
+                let reading_time =
+                    view.reading.time_to_first_event(prompt, self.norm).as_secs_f64();
                 let far_time = if is_far { FAR_TIME_COST.as_secs_f64() } else { 0.0 };
-                reading_time + view.share_of_places(now) * FULL_TIME_COST.as_secs_f64() + far_time
+                reading_time + view.utilization(now) * FULL_TIME_COST.as_secs_f64() + far_time
             },
         }
     }
@@ -123,10 +124,10 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quillcove_core::relay::reading::ReadingNorm;
+/// use quillcove_core::relay::reading::PrefillAverages;
 /// use quillcove_core::relay::routing::{RoutingCost, choose};
 ///
-/// let norm = ReadingNorm::default();
+/// let norm = PrefillAverages::default();
 /// let cost = RoutingCost { prompt: None, norm: &norm, hall: "hall-a" };
 /// assert!(choose(&[], &cost, Duration::ZERO, 0).is_none());
 /// ```
--- a/quillcove_core/src/relay/sheet.rs
+++ b/quillcove_core/src/relay/sheet.rs
@@ -12,7 +12,7 @@
 use crate::standing::limit::RateLimit;
 
 /// Version of a configuration; the platform increments it with each change.
-pub type SheetVersion = u64;
+pub type ConfigVersion = u64;
 
 /// A base model of an engine service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -130,9 +130,9 @@
 
 /// One version of the published configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RouteSheet {
+pub struct PublishedConfig {
     /// Version; a configuration is applied only if its version is higher than the one in force.
-    pub version: SheetVersion,
+    pub version: ConfigVersion,
     /// Routes by host and path.
     routes: RouteTable,
     /// Services by name.
@@ -143,17 +143,17 @@
     access: Option<Arc<AccessTable>>,
 }
 
-impl RouteSheet {
+impl PublishedConfig {
     /// Creates a configuration without workspaces.
     ///
     /// ```
-    /// use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+    /// use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
     ///
-    /// let config = RouteSheet::new(7, Vec::new(), Vec::new(), CallerLimits::default());
+    /// let config = PublishedConfig::new(7, Vec::new(), Vec::new(), CallerLimits::default());
     /// assert!(config.find_route("a.example", "/").is_none());
     /// ```
     pub fn new(
-        version: SheetVersion,
+        version: ConfigVersion,
         routes: Vec<RouteRecord>,
         services: Vec<ServiceRecord>,
         limits: CallerLimits,
@@ -168,9 +168,9 @@
     ///
     /// ```
     /// use quillcove_core::access::workspace::AccessTable;
-    /// use quillcove_core::relay::sheet::RouteSheet;
+    /// use quillcove_core::relay::sheet::PublishedConfig;
     ///
-    /// let config = RouteSheet::default().with_access(AccessTable::default());
+    /// let config = PublishedConfig::default().with_access(AccessTable::default());
     /// assert!(config.access().is_some());
     /// ```
     pub fn with_access(mut self, access: AccessTable) -> Self {
@@ -180,7 +180,7 @@
 
     /// Returns the workspaces; `None` where requests need no key.
     ///
-    /// See [`RouteSheet::with_access`] for an example.
+    /// See [`PublishedConfig::with_access`] for an example.
     pub fn access(&self) -> Option<&Arc<AccessTable>> {
         self.access.as_ref()
     }
@@ -189,9 +189,9 @@
     /// path.
     ///
     /// ```
-    /// use quillcove_core::relay::sheet::RouteSheet;
+    /// use quillcove_core::relay::sheet::PublishedConfig;
     ///
-    /// assert!(RouteSheet::default().find_route("a.example", "/x/y").is_none());
+    /// assert!(PublishedConfig::default().find_route("a.example", "/x/y").is_none());
     /// ```
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<RouteRecord>> {
         self.routes.find(host, path)
@@ -200,9 +200,9 @@
     /// Returns a service by its name.
     ///
     /// ```
-    /// use quillcove_core::relay::sheet::RouteSheet;
+    /// use quillcove_core::relay::sheet::PublishedConfig;
     ///
-    /// assert!(RouteSheet::default().service("booking").is_none());
+    /// assert!(PublishedConfig::default().service("booking").is_none());
     /// ```
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceRecord>> {
         self.services.get(name)
@@ -211,9 +211,9 @@
     /// Returns all services, in no particular order.
     ///
     /// ```
-    /// use quillcove_core::relay::sheet::RouteSheet;
+    /// use quillcove_core::relay::sheet::PublishedConfig;
     ///
-    /// assert_eq!(RouteSheet::default().services().count(), 0);
+    /// assert_eq!(PublishedConfig::default().services().count(), 0);
     /// ```
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServiceRecord>> {
         self.services.values()
@@ -222,9 +222,9 @@
     /// Returns all routes.
     ///
     /// ```
-    /// use quillcove_core::relay::sheet::RouteSheet;
+    /// use quillcove_core::relay::sheet::PublishedConfig;
     ///
-    /// assert_eq!(RouteSheet::default().routes().count(), 0);
+    /// assert_eq!(PublishedConfig::default().routes().count(), 0);
     /// ```
     pub fn routes(&self) -> impl Iterator<Item = &Arc<RouteRecord>> {
         self.routes.iter()
@@ -233,9 +233,9 @@
     /// Returns the number of routes.
     ///
     /// ```
-    /// use quillcove_core::relay::sheet::RouteSheet;
+    /// use quillcove_core::relay::sheet::PublishedConfig;
     ///
-    /// assert_eq!(RouteSheet::default().route_count(), 0);
+    /// assert_eq!(PublishedConfig::default().route_count(), 0);
     /// ```
     pub fn route_count(&self) -> usize {
         self.routes.len()
--- a/quillcove_core/src/relay/sheet_change.rs
+++ b/quillcove_core/src/relay/sheet_change.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-use super::sheet::{CallerLimits, RouteSheet, ServiceRecord, SheetVersion};
+use super::sheet::{CallerLimits, ConfigVersion, PublishedConfig, ServiceRecord};
 use crate::route::RouteRecord;
 
 /// Most routes in a change, at some 150 bytes each, so that it fits into a datagram.
@@ -17,11 +17,11 @@
 /// Difference between a configuration and a later one. Workspaces are not included: a relay reads a
 /// configuration that has some as a whole.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SheetChange {
+pub struct ConfigChange {
     /// Version of the configuration that the change applies to.
-    base: SheetVersion,
+    base: ConfigVersion,
     /// Version of the resulting configuration.
-    version: SheetVersion,
+    version: ConfigVersion,
     /// Routes that were added or changed.
     routes: Vec<RouteRecord>,
     /// Host and prefix of removed routes.
@@ -33,21 +33,21 @@
     digest: u64,
 }
 
-impl SheetChange {
+impl ConfigChange {
     /// Computes the change from one configuration to another. Returns `None` where it can't be
     /// expressed: one of them has workspaces, two routes have the same host and prefix, or too many
     /// routes differ.
     ///
     /// ```
-    /// use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
-    /// use quillcove_core::relay::sheet_change::SheetChange;
+    /// use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
+    /// use quillcove_core::relay::sheet_change::ConfigChange;
     ///
-    /// let config = |version| RouteSheet::new(version, vec![], vec![], CallerLimits::default());
-    /// let change = SheetChange::between(&config(2), &config(5)).unwrap();
+    /// let config = |version| PublishedConfig::new(version, vec![], vec![], CallerLimits::default());
+    /// let change = ConfigChange::between(&config(2), &config(5)).unwrap();
     /// assert_eq!(change.apply(&config(2)).unwrap().version, 5);
     /// assert!(change.apply(&config(3)).is_none(), "made for another version");
     /// ```
-    pub fn between(before: &RouteSheet, after: &RouteSheet) -> Option<Self> {
+    pub fn between(before: &PublishedConfig, after: &PublishedConfig) -> Option<Self> {
         if before.access().is_some() || after.access().is_some() {
             return None;
         }
@@ -80,8 +80,8 @@
     /// Returns the resulting configuration; `None` where the change was made for another version or
     /// the digest of the resulting routes differs.
     ///
-    /// See [`SheetChange::between`] for an example.
-    pub fn apply(&self, before: &RouteSheet) -> Option<RouteSheet> {
+    /// See [`ConfigChange::between`] for an example.
+    pub fn apply(&self, before: &PublishedConfig) -> Option<PublishedConfig> {
         if before.version != self.base || before.access().is_some() {
             return None;
         }
@@ -94,7 +94,7 @@
         }
         let routes = routes_by_key.into_values().cloned().collect();
         let services = self.services.clone().unwrap_or_else(|| sorted_services(before));
-        let after = RouteSheet::new(self.version, routes, services, self.limits);
+        let after = PublishedConfig::new(self.version, routes, services, self.limits);
         (routes_digest(&after) == self.digest).then_some(after)
     }
 }
@@ -103,7 +103,7 @@
 type RouteKey<'a> = (&'a str, &'a str);
 
 /// Returns the routes by host and prefix; `None` where two routes have the same.
-fn index_routes(config: &RouteSheet) -> Option<HashMap<RouteKey<'_>, &RouteRecord>> {
+fn index_routes(config: &PublishedConfig) -> Option<HashMap<RouteKey<'_>, &RouteRecord>> {
     let mut routes = HashMap::new();
     for route in config.routes() {
         let key = (route.host.as_str(), route.prefix.as_str());
@@ -114,7 +114,7 @@
     Some(routes)
 }
 
-fn sorted_services(config: &RouteSheet) -> Vec<ServiceRecord> {
+fn sorted_services(config: &PublishedConfig) -> Vec<ServiceRecord> {
     let mut services: Vec<ServiceRecord> =
         config.services().map(|service: &Arc<ServiceRecord>| service.as_ref().clone()).collect();
     services.sort_by(|one, other| one.name.cmp(&other.name));
@@ -122,7 +122,7 @@
 }
 
 /// Computes a digest of all routes that does not depend on their order.
-fn routes_digest(config: &RouteSheet) -> u64 {
+fn routes_digest(config: &PublishedConfig) -> u64 {
     let route_digest = |route: &Arc<RouteRecord>| {
         let mut hasher = SipHasher13::new();
         format!("{route:?}").hash(&mut hasher);
--- a/quillcove_core/src/relay/store_duty.rs
+++ b/quillcove_core/src/relay/store_duty.rs
@@ -55,7 +55,7 @@
 
 /// How a relay learns what the store publishes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub enum StoreDuty {
+pub enum StoreRole {
     /// As a direct reader, it watches the store.
     #[default]
     Watches,
@@ -195,21 +195,21 @@
 /// followers reach their age limits.
 ///
 /// ```
-/// use quillcove_core::relay::store_duty::{DutyRules, ReaderCandidate, StoreDuty, duty};
+/// use quillcove_core::relay::store_duty::{DutyRules, ReaderCandidate, StoreRole, choose_role};
 ///
 /// let (host, hall) = ("front-1".to_string(), "hall-a".to_string());
 /// let own = ReaderCandidate { host: &host, hall: &hall, is_up: true };
-/// assert_eq!(duty(&DutyRules::default(), own, &[]), StoreDuty::Watches);
+/// assert_eq!(choose_role(&DutyRules::default(), own, &[]), StoreRole::Watches);
 /// ```
-pub fn duty(
+pub fn choose_role(
     rules: &DutyRules,
     own: ReaderCandidate<'_>,
     others: &[ReaderCandidate<'_>],
-) -> StoreDuty {
+) -> StoreRole {
     // A relay whose last call failed watches the store until it answers; otherwise it would not
     // notice when its own connection to the store works again.
     if !is_large(others.len()) || !own.is_up || rules.watch_time(StorePart::Replicas).is_none() {
-        return StoreDuty::Watches;
+        return StoreRole::Watches;
     }
     let reachable = others.iter().filter(|other| other.is_up).chain([&own]);
     let mut halls: BTreeMap<&HallName, Vec<&HostId>> = BTreeMap::new();
@@ -222,7 +222,7 @@
     let own_rank = rank(own.host);
     let higher_ranked = hosts.into_iter().filter(|host| rank(host) < own_rank).count();
     match higher_ranked < readers_per_hall {
-        true => StoreDuty::Watches,
-        false => StoreDuty::IsTold,
+        true => StoreRole::Watches,
+        false => StoreRole::IsTold,
     }
 }
--- a/quillcove_core/src/relay/tries.rs
+++ b/quillcove_core/src/relay/tries.rs
@@ -23,8 +23,8 @@
 /// use quillcove_core::relay::tries::CallerTries;
 ///
 /// let mut tries = CallerTries::default();
-/// assert_eq!(tries.age_of(Duration::from_secs(5)), Duration::ZERO);
-/// assert_eq!(tries.age_of(Duration::from_secs(4)), Duration::from_secs(1));
+/// assert_eq!(tries.time_since_first_attempt(Duration::from_secs(5)), Duration::ZERO);
+/// assert_eq!(tries.time_since_first_attempt(Duration::from_secs(4)), Duration::from_secs(1));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallerTries {
@@ -42,9 +42,9 @@
     /// use std::time::Duration;
     /// use quillcove_core::relay::tries::CallerTries;
     ///
-    /// assert_eq!(CallerTries::default().age_of(Duration::ZERO), Duration::ZERO);
+    /// assert_eq!(CallerTries::default().time_since_first_attempt(Duration::ZERO), Duration::ZERO);
     /// ```
-    pub fn age_of(&mut self, waiting_time: Duration) -> Duration {
+    pub fn time_since_first_attempt(&mut self, waiting_time: Duration) -> Duration {
         if waiting_time > self.longest {
             *self = Self { longest: waiting_time, uniform_share: 1.0 };
             return Duration::ZERO;
--- a/quillcove_core/src/route.rs
+++ b/quillcove_core/src/route.rs
@@ -137,10 +137,10 @@
     ///     is_public: true,
     ///     targets: vec![share("old", 90), share("new", 10)],
     /// };
-    /// assert_eq!(route.draw_service(89).unwrap(), "old");
-    /// assert_eq!(route.draw_service(90).unwrap(), "new");
+    /// assert_eq!(route.choose_service(89).unwrap(), "old");
+    /// assert_eq!(route.choose_service(90).unwrap(), "new");
     /// ```
-    pub fn draw_service(&self, draw: u64) -> Option<&ServiceName> {
+    pub fn choose_service(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut offset = draw.checked_rem(total)?;
         for target in &self.targets {
--- a/quillcove_core/src/standing/mod.rs
+++ b/quillcove_core/src/standing/mod.rs
@@ -84,7 +84,7 @@
 
 /// What changed with a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StandingChange {
+pub enum UpstreamStatusChange {
     /// The upstream is draining.
     Leaves,
     /// It requested a pause until this time, and was not paused before.
@@ -97,53 +97,53 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use quillcove_core::standing::UpstreamStanding;
+/// use quillcove_core::standing::UpstreamStatus;
 /// use quillcove_core::standing::notice::UpstreamNotice;
 ///
-/// let mut standing = UpstreamStanding::default();
+/// let mut standing = UpstreamStatus::default();
 /// let second = Duration::from_secs(1);
 /// let notice = UpstreamNotice { is_leaving: false, rest: Some(second), limit: None };
-/// standing.take(&notice, Duration::ZERO, Duration::ZERO);
+/// standing.record_notice(&notice, Duration::ZERO, Duration::ZERO);
 /// assert!(!standing.takes_work(Duration::from_millis(999)));
 /// assert!(standing.takes_work(second));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct UpstreamStanding {
+pub struct UpstreamStatus {
     leaving: Option<DrainingReport>,
     pause: Option<RequestedPause>,
     limit: Option<RequestPacer>,
     warm_up: Option<WarmUp>,
 }
 
-impl UpstreamStanding {
+impl UpstreamStatus {
     /// Records what the upstream reported in an answer. `spread` is added to a pause, so that
     /// processes asked for one at the same time do not return at the same time.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::standing::{StandingChange, UpstreamStanding};
+    /// use quillcove_core::standing::{UpstreamStatusChange, UpstreamStatus};
     /// use quillcove_core::standing::notice::UpstreamNotice;
     ///
     /// let notice = UpstreamNotice { is_leaving: true, rest: None, limit: None };
-    /// let change = UpstreamStanding::default().take(&notice, Duration::ZERO, Duration::ZERO);
-    /// assert_eq!(change, Some(StandingChange::Leaves));
+    /// let change = UpstreamStatus::default().record_notice(&notice, Duration::ZERO, Duration::ZERO);
+    /// assert_eq!(change, Some(UpstreamStatusChange::Leaves));
     /// ```
-    pub fn take(
+    pub fn record_notice(
         &mut self,
         notice: &UpstreamNotice,
         spread: Duration,
         now: MonoTime,
-    ) -> Option<StandingChange> {
+    ) -> Option<UpstreamStatusChange> {
         let pause = notice.rest.and_then(|pause| self.start_pause(now + pause + spread, now));
         let is_newly_draining = notice.is_leaving && self.note_leaving(LeavingSource::Answer, now);
         let limit = notice.limit.and_then(|limit| self.record_limit(limit, now));
         match is_newly_draining {
-            true => Some(StandingChange::Leaves),
+            true => Some(UpstreamStatusChange::Leaves),
             false => pause.or(limit),
         }
     }
 
-    fn record_limit(&mut self, limit: RateLimit, now: MonoTime) -> Option<StandingChange> {
+    fn record_limit(&mut self, limit: RateLimit, now: MonoTime) -> Option<UpstreamStatusChange> {
         let is_change = match &mut self.limit {
             Some(pacer) => pacer.record_limit(limit, now),
             None => {
@@ -151,7 +151,7 @@
                 true
             },
         };
-        is_change.then_some(StandingChange::Limits(limit))
+        is_change.then_some(UpstreamStatusChange::Limits(limit))
     }
 
     /// Records a limit, or the absence of one, that another process reports from an answer of this
@@ -160,16 +160,16 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::standing::UpstreamStanding;
+    /// use quillcove_core::standing::UpstreamStatus;
     /// use quillcove_core::standing::limit::RateLimit;
     ///
-    /// let mut standing = UpstreamStanding::default();
+    /// let mut standing = UpstreamStatus::default();
     /// let second = Duration::from_secs(1);
     /// let limit = RateLimit::per_second(2.0);
-    /// assert!(standing.note_told_limit(limit, Duration::ZERO, Duration::ZERO, second));
+    /// assert!(standing.record_reported_limit(limit, Duration::ZERO, Duration::ZERO, second));
     /// assert!(!standing.takes_work(second));
     /// ```
-    pub fn note_told_limit(
+    pub fn record_reported_limit(
         &mut self,
         limit: Option<RateLimit>,
         age: Duration,
@@ -197,14 +197,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::standing::UpstreamStanding;
+    /// use quillcove_core::standing::UpstreamStatus;
     /// use quillcove_core::standing::limit::RateLimit;
     /// use quillcove_core::standing::notice::UpstreamNotice;
     ///
     /// let [first, second, third] = [1, 2, 3].map(Duration::from_secs);
     /// let notice = UpstreamNotice { limit: RateLimit::per_second(2.0), ..UpstreamNotice::default() };
-    /// let mut standing = UpstreamStanding::default();
-    /// standing.take(&notice, Duration::ZERO, second);
+    /// let mut standing = UpstreamStatus::default();
+    /// standing.record_notice(&notice, Duration::ZERO, second);
     /// let zero = Duration::ZERO;
     /// assert!(!standing.note_no_limit(first, zero, third), "sent before the limit was named");
     /// assert!(standing.note_no_limit(third, zero, third));
@@ -225,7 +225,7 @@
     /// Returns the rate limit that it announces.
     ///
     /// ```
-    /// assert!(quillcove_core::standing::UpstreamStanding::default().limit().is_none());
+    /// assert!(quillcove_core::standing::UpstreamStatus::default().limit().is_none());
     /// ```
     pub fn limit(&self) -> Option<RateLimit> {
         self.limit.and_then(|pacer| pacer.limit())
@@ -233,21 +233,21 @@
 
     /// Records that it warms up until `until` and accepts this rate of requests from all processes
     /// together; returns whether that was unknown. This process sends none until its share is set
-    /// with [`UpstreamStanding::set_cold_gap`].
+    /// with [`UpstreamStatus::set_warm_up_gap`].
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::standing::UpstreamStanding;
+    /// use quillcove_core::standing::UpstreamStatus;
     /// use quillcove_core::standing::limit::RateLimit;
     ///
     /// let rate = RateLimit::per_second(8.0).unwrap();
     /// let second = Duration::from_secs(1);
-    /// let mut standing = UpstreamStanding::default();
-    /// assert!(standing.note_cold(rate, second, Duration::ZERO));
+    /// let mut standing = UpstreamStatus::default();
+    /// assert!(standing.record_warm_up(rate, second, Duration::ZERO));
     /// assert!(!standing.takes_work(Duration::ZERO));
     /// assert!(standing.takes_work(second), "the warm-up is over");
     /// ```
-    pub fn note_cold(&mut self, rate: RateLimit, until: MonoTime, now: MonoTime) -> bool {
+    pub fn record_warm_up(&mut self, rate: RateLimit, until: MonoTime, now: MonoTime) -> bool {
         match &mut self.warm_up {
             Some(warm_up) if warm_up.pace(now).is_some() => {
                 warm_up.extend(until);
@@ -265,7 +265,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let standing = quillcove_core::standing::UpstreamStanding::default();
+    /// let standing = quillcove_core::standing::UpstreamStatus::default();
     /// assert!(standing.cold_rate(Duration::ZERO).is_none());
     /// ```
     pub fn cold_rate(&self, now: MonoTime) -> Option<RateLimit> {
@@ -278,11 +278,11 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let mut standing = quillcove_core::standing::UpstreamStanding::default();
-    /// standing.set_cold_gap(None, Duration::ZERO);
+    /// let mut standing = quillcove_core::standing::UpstreamStatus::default();
+    /// standing.set_warm_up_gap(None, Duration::ZERO);
     /// assert!(standing.takes_work(Duration::ZERO), "it is not warming up");
     /// ```
-    pub fn set_cold_gap(&mut self, gap: Option<Duration>, now: MonoTime) {
+    pub fn set_warm_up_gap(&mut self, gap: Option<Duration>, now: MonoTime) {
         if let Some(pacer) = self.warm_up.as_mut().and_then(|warm_up| warm_up.pace_mut(now)) {
             pacer.set_gap(gap, now);
         }
@@ -310,7 +310,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let mut standing = quillcove_core::standing::UpstreamStanding::default();
+    /// let mut standing = quillcove_core::standing::UpstreamStatus::default();
     /// standing.set_limit_gap(None, Duration::ZERO);
     /// assert!(standing.takes_work(Duration::ZERO), "there is no limit");
     /// ```
@@ -326,12 +326,12 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let standing = quillcove_core::standing::UpstreamStanding::default();
+    /// let standing = quillcove_core::standing::UpstreamStatus::default();
     /// assert!(standing.may_write(Duration::ZERO, Duration::ZERO));
     /// ```
     pub fn may_write(&self, begun: MonoTime, now: MonoTime) -> bool {
         let is_slot_valid = self.pacers(now).all(|pacer| pacer.may_write(begun, now));
-        is_slot_valid && self.rest_end(now).is_none()
+        is_slot_valid && self.pause_end(now).is_none()
     }
 
     /// Records that it is draining; returns whether that was unknown or the source is more reliable
@@ -339,9 +339,9 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use quillcove_core::standing::{LeavingSource, UpstreamStanding};
+    /// use quillcove_core::standing::{LeavingSource, UpstreamStatus};
     ///
-    /// let mut standing = UpstreamStanding::default();
+    /// let mut standing = UpstreamStatus::default();
     /// assert!(standing.note_leaving(LeavingSource::Told, Duration::ZERO));
     /// assert!(!standing.is_leaving(), "reported by another process only");
     /// assert!(standing.note_leaving(LeavingSource::Answer, Duration::ZERO));
@@ -359,18 +359,18 @@
 
     /// Records a pause. Answers may overtake one another, so of several pauses the one that ends
     /// last applies.
-    fn start_pause(&mut self, until: MonoTime, now: MonoTime) -> Option<StandingChange> {
-        let is_paused = self.rest_end(now).is_some();
+    fn start_pause(&mut self, until: MonoTime, now: MonoTime) -> Option<UpstreamStatusChange> {
+        let is_paused = self.pause_end(now).is_some();
         if self.pause.is_none_or(|pause| pause.until < until) {
             self.pause = Some(RequestedPause { until, sent: 0 });
         }
-        (!is_paused).then_some(StandingChange::Rests(until))
+        (!is_paused).then_some(UpstreamStatusChange::Rests(until))
     }
 
     /// Tells whether it has reported itself that it is draining.
     ///
     /// ```
-    /// assert!(!quillcove_core::standing::UpstreamStanding::default().is_leaving());
+    /// assert!(!quillcove_core::standing::UpstreamStatus::default().is_leaving());
     /// ```
     pub fn is_leaving(&self) -> bool {
         self.leaving.is_some_and(|report| match report.source {
@@ -382,7 +382,7 @@
     /// Returns what is known of its draining, from any source.
     ///
     /// ```
-    /// assert!(quillcove_core::standing::UpstreamStanding::default().leaving().is_none());
+    /// assert!(quillcove_core::standing::UpstreamStatus::default().leaving().is_none());
     /// ```
     pub fn leaving(&self) -> Option<DrainingReport> {
         self.leaving
@@ -393,10 +393,10 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let standing = quillcove_core::standing::UpstreamStanding::default();
-    /// assert_eq!(standing.rest_end(Duration::ZERO), None);
+    /// let standing = quillcove_core::standing::UpstreamStatus::default();
+    /// assert_eq!(standing.pause_end(Duration::ZERO), None);
     /// ```
-    pub fn rest_end(&self, now: MonoTime) -> Option<MonoTime> {
+    pub fn pause_end(&self, now: MonoTime) -> Option<MonoTime> {
         self.pause.map(|pause| pause.until).filter(|until| now < *until)
     }
 
@@ -406,10 +406,10 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let standing = quillcove_core::standing::UpstreamStanding::default();
-    /// assert_eq!(standing.left(Duration::ZERO), None);
+    /// let standing = quillcove_core::standing::UpstreamStatus::default();
+    /// assert_eq!(standing.remaining_requests(Duration::ZERO), None);
     /// ```
-    pub fn left(&self, now: MonoTime) -> Option<u32> {
+    pub fn remaining_requests(&self, now: MonoTime) -> Option<u32> {
         self.pause.and_then(|pause| pause.remaining_requests(now))
     }
 
@@ -418,11 +418,12 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let standing = quillcove_core::standing::UpstreamStanding::default();
+    /// let standing = quillcove_core::standing::UpstreamStatus::default();
     /// assert!(standing.takes_work(Duration::ZERO));
     /// ```
     pub fn takes_work(&self, now: MonoTime) -> bool {
-        self.left(now) != Some(0) && self.next_slot(now).is_some_and(|slot| slot <= now)
+        self.remaining_requests(now) != Some(0)
+            && self.next_slot(now).is_some_and(|slot| slot <= now)
     }
 
     /// Returns the earliest send slot under its limits; `None` if this process may send none.
@@ -437,11 +438,11 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let standing = quillcove_core::standing::UpstreamStanding::default();
-    /// assert_eq!(standing.takes_work_from(Duration::ZERO), Duration::ZERO);
+    /// let standing = quillcove_core::standing::UpstreamStatus::default();
+    /// assert_eq!(standing.next_request_time(Duration::ZERO), Duration::ZERO);
     /// ```
-    pub fn takes_work_from(&self, now: MonoTime) -> MonoTime {
-        let pause = self.pause.filter(|_| self.left(now) == Some(0));
+    pub fn next_request_time(&self, now: MonoTime) -> MonoTime {
+        let pause = self.pause.filter(|_| self.remaining_requests(now) == Some(0));
         let after_pause = pause.map_or(now, |pause| pause.next_slot(now));
         let gaps = self.pacers(now).filter_map(RequestPacer::limit).map(RateLimit::gap);
         let others_slot = || now + gaps.max().unwrap_or_default();
@@ -454,7 +455,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let standing = quillcove_core::standing::UpstreamStanding::default();
+    /// let standing = quillcove_core::standing::UpstreamStatus::default();
     /// assert!(!standing.is_limit_overdue(Duration::ZERO), "there is none");
     /// ```
     pub fn is_limit_overdue(&self, now: MonoTime) -> bool {
@@ -466,7 +467,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// let mut standing = quillcove_core::standing::UpstreamStanding::default();
+    /// let mut standing = quillcove_core::standing::UpstreamStatus::default();
     /// standing.begin(Duration::ZERO);
     /// ```
     pub fn begin(&mut self, now: MonoTime) {
@@ -486,10 +487,10 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// assert!(quillcove_core::standing::UpstreamStanding::default().is_blank(Duration::ZERO));
+    /// assert!(quillcove_core::standing::UpstreamStatus::default().is_blank(Duration::ZERO));
     /// ```
     pub fn is_blank(&self, now: MonoTime) -> bool {
-        let is_held_back = self.left(now).is_some() || self.cold_rate(now).is_some();
+        let is_held_back = self.remaining_requests(now).is_some() || self.cold_rate(now).is_some();
         self.leaving.is_none() && !is_held_back && self.limit().is_none()
     }
 }
--- a/quillcove_core/src/verdict.rs
+++ b/quillcove_core/src/verdict.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Retry time sent with a refusal whose cause is expected to end soon.
-pub const SOON: Duration = Duration::from_secs(1);
+pub const SHORT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Whether a request has run, as far as known when its response or error is sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -196,12 +196,12 @@
     /// Creates a refusal of work that did not run because a queue or table is full.
     ///
     /// ```
-    /// use quillcove_core::verdict::{SOON, WorkRefusal};
+    /// use quillcove_core::verdict::{SHORT_RETRY_DELAY, WorkRefusal};
     ///
-    /// assert_eq!(WorkRefusal::overloaded().retry_after, Some(SOON));
+    /// assert_eq!(WorkRefusal::overloaded().retry_after, Some(SHORT_RETRY_DELAY));
     /// ```
     pub fn overloaded() -> Self {
-        Self::not_run(RefusalReason::Overloaded, Some(SOON))
+        Self::not_run(RefusalReason::Overloaded, Some(SHORT_RETRY_DELAY))
     }
 
     /// Creates an error after which it is unknown whether the work ran.
--- a/quillcove_core/tests/access_right.rs
+++ b/quillcove_core/tests/access_right.rs
@@ -5,8 +5,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use quillcove_core::access::right::{RightRules, RightStep};
-use quillcove_core::relay::knowledge::{ProofWord, StoreKnowledge};
+use quillcove_core::access::right::{KeyValidityRules, ProofStep};
+use quillcove_core::relay::knowledge::{FreshnessProof, StoreKnowledge};
 use quillcove_core::relay::position::StorePosition;
 use quillcove_core::relay::published::StorePart;
 use rand_like::Draws;
@@ -62,7 +62,7 @@
     },
     Word {
         number: u64,
-        word: ProofWord,
+        word: FreshnessProof,
     },
 }
 
@@ -98,7 +98,7 @@
 
 struct World {
     rule: AgeRule,
-    rules: RightRules,
+    rules: KeyValidityRules,
     relays: Vec<Relay>,
     draws: Draws,
     /// When the key was taken away, which is the store's revision 2.
@@ -119,7 +119,7 @@
         let removed_at = 8_000 + draws.below(15_000);
         Self {
             rule,
-            rules: RightRules { bound: Some(BOUND) },
+            rules: KeyValidityRules { bound: Some(BOUND) },
             relays: (0..relays).map(|place| Relay::new(place == 0)).collect(),
             draws,
             removed_at,
@@ -227,7 +227,7 @@
         }
     }
 
-    fn take_word(&mut self, place: usize, number: u64, word: ProofWord, own: Duration) {
+    fn take_word(&mut self, place: usize, number: u64, word: FreshnessProof, own: Duration) {
         let rule = self.rule;
         let relay = &mut self.relays[place];
         let Some(asked_at) = relay.asked_at.filter(|_| number == relay.number) else {
@@ -235,10 +235,10 @@
         };
         let from = if rule == AgeRule::FromWord { own } else { asked_at };
         let word = match rule {
-            AgeRule::WithoutChange => ProofWord { changed: StorePosition::default(), ..word },
+            AgeRule::WithoutChange => FreshnessProof { changed: StorePosition::default(), ..word },
             _ => word,
         };
-        relay.knowledge.take_proof(&word, from);
+        relay.knowledge.apply_proof(&word, from);
     }
 
     /// Reads the store: a watch may be answered early, and an answer may be long on its way or lost.
@@ -246,7 +246,7 @@
         let own = self.own(place, now);
         let knowledge = &self.relays[place].knowledge;
         let step = self.rules.step(knowledge.proved_at(), None, own);
-        let reads = self.relays[place].reads || step == RightStep::AskAndRead;
+        let reads = self.relays[place].reads || step == ProofStep::AskAndRead;
         if self.relays[place].is_reading || !reads {
             return;
         }
@@ -270,7 +270,7 @@
         let own = self.own(place, now);
         let relay = &mut self.relays[place];
         let step = self.rules.step(relay.knowledge.proved_at(), relay.asked_at, own);
-        if step == RightStep::Rest || self.relays.len() == 1 {
+        if step == ProofStep::Idle || self.relays.len() == 1 {
             return;
         }
         let relay = &mut self.relays[place];
--- a/quillcove_core/tests/adapter_homes.rs
+++ b/quillcove_core/tests/adapter_homes.rs
@@ -12,10 +12,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillcove_core::relay::beacon::{AdapterKey, EngineBeacon, EngineReport, HeldAdapter};
+use quillcove_core::relay::beacon::{AdapterKey, EngineHeartbeat, EngineReport, HeldAdapter};
 use quillcove_core::relay::machine::{RelayChoice, RelayMachine, RelayRules};
 use quillcove_core::relay::replica::{ReplicaRecord, ReplicaState, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use relay_site::{address, engine_service, ms, stream_route};
 
 const HALLS: u16 = 5;
@@ -34,10 +34,15 @@
     let rules = RelayRules { host: name.to_string(), hall: hall(own), ..RelayRules::default() };
     let mut machine = RelayMachine::new(rules, 1);
     let services = vec![engine_service(10_000, 3.0)];
-    machine.take_sheet(RouteSheet::new(1, vec![stream_route()], services, CallerLimits::default()));
+    machine.apply_configuration(PublishedConfig::new(
+        1,
+        vec![stream_route()],
+        services,
+        CallerLimits::default(),
+    ));
     machine.list_all((0..engines).map(record).collect(), ms(0));
     for number in 0..engines {
-        let near = machine.table().at(address(number + 1)).unwrap().is_near;
+        let near = machine.table().at(address(number + 1)).unwrap().is_in_cell;
         if near {
             machine.take_report(&report(address(number + 1), &[], 0), ms(0));
         }
@@ -50,10 +55,10 @@
 }
 
 /// A loader's report: its engine holds these, each with so many requests in flight over all relays.
-fn report(engine: SocketAddr, held: &[AdapterKey], uses: u32) -> EngineBeacon {
+fn report(engine: SocketAddr, held: &[AdapterKey], uses: u32) -> EngineHeartbeat {
     let adapters = held.iter().map(|key| HeldAdapter { key: key.clone(), version: 1 }).collect();
     let models = vec!["m".to_string()];
-    EngineBeacon {
+    EngineHeartbeat {
         host: "side".to_string(),
         engine,
         number: 1,
@@ -75,7 +80,7 @@
 }
 
 fn asked(machine: &mut RelayMachine) -> Vec<SocketAddr> {
-    machine.take_asks().into_iter().map(|ask| ask.engine).collect()
+    machine.take_load_requests().into_iter().map(|ask| ask.engine).collect()
 }
 
 #[test]
@@ -111,7 +116,7 @@
             panic!("the adapter is there");
         };
         assert_eq!(order.address, home);
-        is_far |= !machine.table().at(home).unwrap().is_near;
+        is_far |= !machine.table().at(home).unwrap().is_in_cell;
     }
     assert!(is_far);
 }
@@ -122,16 +127,20 @@
     let has_far_home = |adapter: &usize| {
         request(&mut machine, *adapter, ms(0));
         let home = asked(&mut machine)[0];
-        !machine.table().at(home).unwrap().is_near
+        !machine.table().at(home).unwrap().is_in_cell
     };
     let adapter = (0..50).find(has_far_home).unwrap();
     machine.tick(ms(200));
     let query = relay_site::query(stream_route(), Some(key(adapter)), ms(0));
-    machine.choose(&quillcove_core::relay::machine::RelayQuery { looks: 1, ..query }, &[], ms(250));
+    machine.choose(
+        &quillcove_core::relay::machine::RelayQuery { choice_count: 1, ..query },
+        &[],
+        ms(250),
+    );
     machine.tick(ms(300));
     let engines = asked(&mut machine);
     assert!(
-        engines.iter().any(|engine| machine.table().at(*engine).unwrap().is_near),
+        engines.iter().any(|engine| machine.table().at(*engine).unwrap().is_in_cell),
         "{engines:?}"
     );
 }
@@ -145,11 +154,11 @@
         machine.take_report(&report(home, &[key(adapter)], 9), ms(2));
         request(&mut machine, adapter, ms(3));
         let copies = asked(&mut machine);
-        if machine.table().at(home).unwrap().is_near {
+        if machine.table().at(home).unwrap().is_in_cell {
             continue;
         }
         assert_eq!(copies.len(), 1, "a copy is asked for at once");
-        assert!(machine.table().at(copies[0]).unwrap().is_near);
+        assert!(machine.table().at(copies[0]).unwrap().is_in_cell);
         machine.take_report(&report(copies[0], &[key(adapter)], 1), ms(4));
         let RelayChoice::Send(order) = request(&mut machine, adapter, ms(5)) else {
             panic!("the copy is there");
@@ -178,5 +187,5 @@
     let mut machine = relay("relay-0", 0, 90);
     request(&mut machine, 7, ms(0));
     assert_eq!(asked(&mut machine).len(), 1);
-    assert!(machine.table().all().all(|view| view.is_near));
+    assert!(machine.table().all().all(|view| view.is_in_cell));
 }
--- a/quillcove_core/tests/agent_words.rs
+++ b/quillcove_core/tests/agent_words.rs
@@ -10,7 +10,7 @@
 };
 use quillcove_core::bundle::FleetBundle;
 use quillcove_core::class::WorkClass;
-use quillcove_core::entry::event::{AgentNews, EntryRules, HostRecord, RouteTarget};
+use quillcove_core::entry::event::{AgentStatus, EntryRules, HostRecord, RouteTarget};
 use quillcove_core::entry::fleet::UpstreamTable;
 use quillcove_core::once::book::{BookLimits, OnceBook};
 use quillcove_core::standing::limit::RateLimit;
@@ -37,7 +37,7 @@
         let book = OnceBook::new("s0", 5, [7; 32], BookLimits::default(), Duration::ZERO);
         let machine = AgentMachine::new("s0", 5, rules, book, Duration::ZERO);
         let mut agent = Self { machine, now: Duration::ZERO, attempts: 0 };
-        agent.feed(AgentEvent::BundleTaken(Arc::new(FleetBundle::default())));
+        agent.feed(AgentEvent::BundleActivated(Arc::new(FleetBundle::default())));
         agent.report(false);
         agent
     }
@@ -50,7 +50,7 @@
     }
 
     fn report(&mut self, leaving: bool) {
-        self.feed(AgentEvent::Reported(EngineReport { leaving, ..EngineReport::default() }));
+        self.feed(AgentEvent::ReportReceived(EngineReport { leaving, ..EngineReport::default() }));
     }
 
     /// An attempt arrives; gives what becomes of it.
@@ -66,13 +66,13 @@
             claim: None,
             identity: None,
         };
-        self.feed(AgentEvent::Arrived(order))
+        self.feed(AgentEvent::AttemptReceived(order))
     }
 
     fn is_started(&mut self) -> bool {
         let attempt = self.attempts + 1;
-        let is_started = self.arrive().contains(&AgentAction::Start(attempt));
-        self.feed(AgentEvent::Ended(attempt, RunEnd::Complete(200)));
+        let is_started = self.arrive().contains(&AgentAction::StartAttempt(attempt));
+        self.feed(AgentEvent::RunEnded(attempt, RunEnd::Complete(200)));
         is_started
     }
 
@@ -88,13 +88,13 @@
 fn nothing_starts_in_a_rest_and_few_at_once_after_it() {
     let mut agent = Agent::start(64);
     assert!(agent.is_started());
-    agent.feed(AgentEvent::Said(RESTS));
+    agent.feed(AgentEvent::NoticeReceived(RESTS));
     let (reason, retry_after) = agent.refusal().expect("it is refused at once");
     assert_eq!(reason, RefusalReason::Overloaded);
     assert!(retry_after.is_some_and(|left| left <= REST && left > REST / 2));
-    assert!(agent.machine.news().rest_ms > 0);
+    assert!(agent.machine.status().rest_ms > 0);
     // A good answer to an earlier call ends no rest.
-    agent.feed(AgentEvent::Said(UpstreamNotice::default()));
+    agent.feed(AgentEvent::NoticeReceived(UpstreamNotice::default()));
     assert!(agent.refusal().is_some());
     agent.now += REST;
     let started = (0..8).filter(|_| agent.is_started()).count();
@@ -106,7 +106,7 @@
     let mut agent = Agent::start(1);
     agent.arrive();
     agent.arrive();
-    let out = agent.feed(AgentEvent::Said(LEAVES));
+    let out = agent.feed(AgentEvent::NoticeReceived(LEAVES));
     let refused = out.iter().filter(|action| matches!(action, AgentAction::Refuse(2, _))).count();
     assert_eq!(refused, 1);
     assert_eq!(agent.refusal().map(|(reason, _)| reason), Some(RefusalReason::Leaving));
@@ -125,14 +125,14 @@
     agent.report(false);
     assert!(agent.is_started());
     // The next process at the port after an end is another one as well.
-    agent.feed(AgentEvent::Said(LEAVES));
-    agent.feed(AgentEvent::UpstreamLost);
+    agent.feed(AgentEvent::NoticeReceived(LEAVES));
+    agent.feed(AgentEvent::UpstreamUnreachable);
     agent.report(false);
     assert!(agent.is_started());
 }
 
-fn news(incarnation: u64, rest_ms: u64) -> AgentNews {
-    AgentNews {
+fn news(incarnation: u64, rest_ms: u64) -> AgentStatus {
+    AgentStatus {
         incarnation,
         leaving: false,
         running: 0,
@@ -158,22 +158,22 @@
     let target = RouteTarget::Service("booking".to_string());
     let rules = EntryRules::default();
     let mut table = UpstreamTable::default();
-    table.take_hosts(vec![record("s0"), record("s1")]);
-    table.hear("s0", &news(5, 0), Duration::ZERO);
+    table.apply_host_list(vec![record("s0"), record("s1")]);
+    table.record_status("s0", &news(5, 0), Duration::ZERO);
     let count = |table: &UpstreamTable, now| table.candidates(&target, now, &rules).len();
-    table.hear("s0", &news(5, 1000), Duration::ZERO);
+    table.record_status("s0", &news(5, 1000), Duration::ZERO);
     assert_eq!(count(&table, REST / 2), 1);
-    assert_eq!(table.rest_end(&target, REST / 2), None, "the other one takes work");
+    assert_eq!(table.earliest_pause_end(&target, REST / 2), None, "the other one takes work");
     // The host list is read anew, and an answer on its way before says nothing of a rest.
-    table.take_hosts(vec![record("s0"), record("s1")]);
-    table.hear("s0", &news(5, 0), REST / 2);
+    table.apply_host_list(vec![record("s0"), record("s1")]);
+    table.record_status("s0", &news(5, 0), REST / 2);
     assert_eq!(count(&table, REST / 2), 1);
-    table.hear("s1", &news(5, 1000), REST / 2);
+    table.record_status("s1", &news(5, 1000), REST / 2);
     assert_eq!(count(&table, REST / 2), 0);
-    assert_eq!(table.rest_end(&target, REST / 2), Some(REST));
+    assert_eq!(table.earliest_pause_end(&target, REST / 2), Some(REST));
     assert_eq!(count(&table, REST), 1);
     // Another start of the agent is clean.
-    table.hear("s1", &news(6, 0), REST);
+    table.record_status("s1", &news(6, 0), REST);
     assert_eq!(count(&table, REST), 2);
 }
 
@@ -187,21 +187,21 @@
 #[test]
 fn an_agent_starts_no_more_than_its_upstream_takes_and_refuses_the_rest_at_once() {
     let mut agent = Agent::start(64);
-    agent.feed(AgentEvent::Said(limits()));
+    agent.feed(AgentEvent::NoticeReceived(limits()));
     assert_eq!(agent.machine.upstream_limit(), RateLimit::per_second(2.0));
     let (reason, retry_after) = agent.refusal().expect("its turn is too far away");
     assert_eq!(reason, RefusalReason::Overloaded);
     assert!(retry_after.is_some_and(|left| left > LIMITS / 2 && left <= LIMITS));
-    assert!(agent.machine.news().rest_ms > 0, "entries are told");
+    assert!(agent.machine.status().rest_ms > 0, "entries are told");
     let from = agent.now;
     let mut started = 0;
     while agent.now < from + Duration::from_secs(8) {
         let out = agent.arrive();
         for action in out {
             // One that waited for its turn may start with another one's arrival.
-            if let AgentAction::Start(attempt) = action {
+            if let AgentAction::StartAttempt(attempt) = action {
                 started += 1;
-                agent.feed(AgentEvent::Ended(attempt, RunEnd::Complete(200)));
+                agent.feed(AgentEvent::RunEnded(attempt, RunEnd::Complete(200)));
             }
         }
         agent.now += Duration::from_millis(20);
@@ -213,7 +213,7 @@
 fn what_waits_is_refused_when_its_turn_gets_too_far_away() {
     let mut agent = Agent::start(1);
     (0..3).for_each(|_| drop(agent.arrive()));
-    let out = agent.feed(AgentEvent::Said(limits()));
+    let out = agent.feed(AgentEvent::NoticeReceived(limits()));
     let refused = out.iter().filter(|action| matches!(action, AgentAction::Refuse(..))).count();
     assert_eq!(refused, 2);
 }
@@ -222,13 +222,13 @@
 fn only_a_good_answer_to_a_later_attempt_ends_an_upstreams_limit() {
     let mut agent = Agent::start(64);
     agent.arrive();
-    agent.feed(AgentEvent::Said(limits()));
-    agent.feed(AgentEvent::NamedNoLimit(1));
+    agent.feed(AgentEvent::NoticeReceived(limits()));
+    agent.feed(AgentEvent::NoLimitAnnounced(1));
     assert!(agent.machine.upstream_limit().is_some(), "it was started before the word");
     agent.report(false);
     assert!(agent.machine.upstream_limit().is_some(), "a report says nothing of it");
     agent.now += LIMITS;
     agent.arrive();
-    agent.feed(AgentEvent::NamedNoLimit(agent.attempts));
+    agent.feed(AgentEvent::NoLimitAnnounced(agent.attempts));
     assert_eq!(agent.machine.upstream_limit(), None);
 }
--- a/quillcove_core/tests/bundle.rs
+++ b/quillcove_core/tests/bundle.rs
@@ -68,13 +68,13 @@
         let mut in_force = None;
         for (version, body, is_witness) in steps {
             if is_witness {
-                gate.witness(version);
+                gate.record_used_version(version);
                 floor = floor.max(version);
                 in_force = in_force.filter(|(held, _)| *held >= floor);
             } else {
                 let (head, text) = signed(version, &body.to_string());
                 let offered = gate.offer(&head, &text);
-                if offered == Ok(GateChange::Taken) {
+                if offered == Ok(GateChange::Accepted) {
                     prop_assert!(version >= floor);
                     floor = version;
                     in_force = Some((version, body));
@@ -106,8 +106,8 @@
         assert!(matches!(gate.offer(&cut, &text), Err(GateError::Signature(_))));
     }
     assert!(gate.in_force().is_none());
-    assert_eq!(gate.offer(&head, &text), Ok(GateChange::Taken));
-    assert_eq!(gate.offer(&head, &text), Ok(GateChange::Same));
+    assert_eq!(gate.offer(&head, &text), Ok(GateChange::Accepted));
+    assert_eq!(gate.offer(&head, &text), Ok(GateChange::Unchanged));
     let (other, other_text) = signed(1, "c");
     assert_eq!(gate.offer(&other, &other_text), Err(GateError::OtherBytes(1)));
 }
--- a/quillcove_core/tests/bundle_routes.rs
+++ b/quillcove_core/tests/bundle_routes.rs
@@ -28,7 +28,7 @@
     assert_eq!(route.timeout, Duration::from_millis(800));
     assert_eq!(route.aim, Duration::from_millis(150));
     assert_eq!((route.class(), route.attempt_limit), (WorkClass::Urgent, 2));
-    let drawn = (0..100).filter(|draw| route.draw_service(*draw).unwrap() == "booking").count();
+    let drawn = (0..100).filter(|draw| route.choose_service(*draw).unwrap() == "booking").count();
     assert_eq!(drawn, 90);
 }
 
--- a/quillcove_core/tests/cold_replicas.rs
+++ b/quillcove_core/tests/cold_replicas.rs
@@ -18,7 +18,7 @@
 use quillcove_core::relay::policy::{RelayPolicy, SharingRule};
 use quillcove_core::relay::position::StorePosition;
 use quillcove_core::relay::replica::{ReplicaRecord, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use quillcove_core::rendezvous;
 use quillcove_core::standing::limit::RateLimit;
 use relay_site::{address, engine_service, ms, stream_route};
@@ -121,7 +121,12 @@
         let mut service = engine_service(100_000, 3.0);
         service.cold_rate = RateLimit::per_second(COLD_RATE);
         let routes = vec![stream_route()];
-        machine.take_sheet(RouteSheet::new(1, routes, vec![service], CallerLimits::default()));
+        machine.apply_configuration(PublishedConfig::new(
+            1,
+            routes,
+            vec![service],
+            CallerLimits::default(),
+        ));
         if self.fault != ColdFault::Alone {
             let others = names(count).into_iter().filter(|other| *other != host).collect();
             machine.set_peers(others, Duration::ZERO);
@@ -157,12 +162,12 @@
                 return;
             },
         };
-        machine.begin(&order.replica, None, own_now);
+        machine.begin_attempt(&order.replica, None, own_now);
         let is_sent = machine.may_send(&order, own_now, own_now + way);
-        machine.end(
+        machine.end_attempt(
             &order.replica,
             None,
-            quillcove_core::relay::replica::AttemptFate::Answered,
+            quillcove_core::relay::replica::AttemptOutcome::Answered,
             own_now,
         );
         if !is_sent {
--- a/quillcove_core/tests/crash_book.rs
+++ b/quillcove_core/tests/crash_book.rs
@@ -4,16 +4,18 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use quillcove_core::crash::book::{CrashBook, FORGET_TIME, MOST_ENDS};
+use quillcove_core::crash::book::{CrashTable, FORGET_TIME, MOST_ENDS};
 use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
-use quillcove_core::crash::teller::{CrashTeller, in_messages};
-use quillcove_core::crash::telling::{CrashBeacon, EndId, EndReport, EndedRequest, GoodReport};
-use quillcove_core::crash::watch::{AnswerBreak, CrashWatch, ReplicaRun};
+use quillcove_core::crash::teller::{CrashReportQueue, in_messages};
+use quillcove_core::crash::telling::{
+    CrashReport, ExitId, ExitReport, InFlightRequest, SuccessReport,
+};
+use quillcove_core::crash::watch::{CrashTracker, ReplicaRun, ResponseAbort};
 
 const NOW: Duration = Duration::from_secs(1000);
 
-fn broke(identity: RequestIdentity, sent_at: Duration) -> AnswerBreak {
-    AnswerBreak { identity, has_begun: false, sent_at }
+fn broke(identity: RequestIdentity, sent_at: Duration) -> ResponseAbort {
+    ResponseAbort { identity, has_begun: false, sent_at }
 }
 
 fn request(body: u32, caller: u64) -> RequestIdentity {
@@ -23,11 +25,11 @@
     RequestIdentity { digest: parts.digest(), caller }
 }
 
-fn ended(identity: RequestIdentity) -> EndedRequest {
-    EndedRequest { identity, has_begun: false, runs_well: false }
+fn ended(identity: RequestIdentity) -> InFlightRequest {
+    InFlightRequest { identity, has_begun: false, runs_well: false }
 }
 
-fn end_with(book: &mut CrashBook, end: EndId, requests: &[RequestIdentity]) {
+fn end_with(book: &mut CrashTable, end: ExitId, requests: &[RequestIdentity]) {
     for identity in requests {
         book.note_end(end, ended(*identity), NOW, NOW);
     }
@@ -36,7 +38,7 @@
 #[test]
 fn only_the_request_that_is_at_all_ends_is_blamed() {
     let (fatal, innocent) = (request(1, 1), request(2, 2));
-    let mut book = CrashBook::default();
+    let mut book = CrashTable::default();
     for end in 1..=4 {
         end_with(&mut book, end, &[fatal]);
     }
@@ -50,10 +52,10 @@
 #[test]
 fn of_two_at_the_same_ends_the_one_whose_answer_had_not_begun_is_blamed() {
     let (fatal, innocent) = (request(1, 1), request(2, 2));
-    let mut book = CrashBook::default();
+    let mut book = CrashTable::default();
     for end in 1..=3 {
         end_with(&mut book, end, &[fatal]);
-        let begun = EndedRequest { has_begun: true, ..ended(innocent) };
+        let begun = InFlightRequest { has_begun: true, ..ended(innocent) };
         book.note_end(end, begun, NOW, NOW);
     }
     assert!(book.cause(fatal, NOW).is_some());
@@ -62,7 +64,7 @@
 
 #[test]
 fn ends_of_one_caller_are_its_own_and_those_of_several_are_everyones() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTable::default();
     for end in 1..=3 {
         end_with(&mut book, end, &[request(1, 1)]);
     }
@@ -74,27 +76,27 @@
 
 #[test]
 fn a_good_run_of_another_caller_leaves_only_the_caller_refused() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTable::default();
     for end in 1..=3 {
         end_with(&mut book, end, &[request(1, 1)]);
     }
     end_with(&mut book, 4, &[request(1, 2)]);
-    book.note_good(request(1, 3), NOW);
+    book.record_success(request(1, 3), NOW);
     assert!(book.cause(request(1, 1), NOW).is_some());
     assert!(book.cause(request(1, 2), NOW).is_none());
-    book.note_good(request(1, 1), NOW + Duration::from_secs(1));
+    book.record_success(request(1, 1), NOW + Duration::from_secs(1));
     assert!(book.cause(request(1, 1), NOW).is_none());
 }
 
 #[test]
 fn a_popular_request_at_replicas_that_are_killed_at_once_is_not_suspected() {
     let popular = request(1, 1);
-    let mut watch = CrashWatch::default();
-    watch.note_good(popular, NOW);
+    let mut watch = CrashTracker::default();
+    watch.record_success(popular, NOW);
     for replica in 0..20 {
         let run = ReplicaRun { replica: format!("i-{replica}"), born: None };
-        watch.note_broken(&run, broke(popular, NOW), NOW);
-        watch.confirm_end(&run, NOW);
+        watch.record_abort(&run, broke(popular, NOW), NOW);
+        watch.confirm_exit(&run, NOW);
     }
     assert!(watch.cause(popular, NOW).is_none());
     assert!(watch.book().is_empty());
@@ -103,13 +105,13 @@
 #[test]
 fn a_request_that_ran_well_once_is_excused_for_one_moment_only() {
     let request = request(1, 1);
-    let mut watch = CrashWatch::default();
-    watch.note_good(request, NOW);
+    let mut watch = CrashTracker::default();
+    watch.record_success(request, NOW);
     for replica in 0..4u32 {
         let at = NOW + Duration::from_secs(1) * replica;
         let run = ReplicaRun { replica: format!("i-{replica}"), born: None };
-        watch.note_broken(&run, broke(request, at), at);
-        watch.confirm_end(&run, at);
+        watch.record_abort(&run, broke(request, at), at);
+        watch.confirm_exit(&run, at);
     }
     assert!(watch.cause(request, NOW + Duration::from_secs(5)).is_some());
 }
@@ -118,18 +120,18 @@
 #[test]
 fn ends_of_a_replica_whose_restarts_are_not_known_yet_count_each() {
     let fatal = request(1, 1);
-    let mut watch = CrashWatch::default();
-    let mut other = CrashWatch::default();
+    let mut watch = CrashTracker::default();
+    let mut other = CrashTracker::default();
     let run = ReplicaRun { replica: "i-1".to_string(), born: Some(5) };
     for round in 0..3u32 {
         let at = NOW + Duration::from_secs(3) * round;
         assert!(watch.cause(fatal, at).is_none());
-        watch.note_broken(&run, broke(fatal, at), at);
+        watch.record_abort(&run, broke(fatal, at), at);
         // One that was sent before belongs to the same end.
-        watch.note_broken(&run, broke(fatal, at - Duration::from_millis(200)), at);
-        assert_eq!(watch.confirm_end(&run, at), 2);
+        watch.record_abort(&run, broke(fatal, at - Duration::from_millis(200)), at);
+        assert_eq!(watch.confirm_exit(&run, at), 2);
         for message in watch.tell(false, at) {
-            other.take(&message, at);
+            other.apply_report(&message, at);
         }
     }
     let after = NOW + Duration::from_secs(10);
@@ -139,35 +141,35 @@
 
 #[test]
 fn an_answer_that_breaks_off_at_a_replica_that_lives_counts_for_nothing() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashTracker::default();
     for replica in 0..9 {
         let run = ReplicaRun { replica: format!("i-{replica}"), born: None };
-        watch.note_broken(&run, broke(request(1, 1), NOW), NOW);
-        watch.deny_end(&run);
+        watch.record_abort(&run, broke(request(1, 1), NOW), NOW);
+        watch.rule_out_exit(&run);
         // The end of it that is heard of later has nothing to do with the answer.
-        let later = CrashBeacon {
-            ends: vec![EndReport {
-                end: quillcove_core::crash::telling::end_id(&run.replica, None),
+        let later = CrashReport {
+            ends: vec![ExitReport {
+                end: quillcove_core::crash::telling::exit_id(&run.replica, None),
                 age: Duration::ZERO,
                 requests: Vec::new(),
             }],
             good: Vec::new(),
         };
-        watch.take(&later, NOW + Duration::from_secs(3));
+        watch.apply_report(&later, NOW + Duration::from_secs(3));
     }
     assert!(watch.cause(request(1, 1), NOW).is_none());
 }
 
 #[test]
 fn memory_is_bounded_and_what_ends_few_replicas_goes_first() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTable::default();
     let fatal = request(u32::MAX, 1);
-    for end in 0..MOST_ENDS as EndId {
+    for end in 0..MOST_ENDS as ExitId {
         end_with(&mut book, end, &[fatal]);
     }
     // An attacker sends ever new bodies, each of which ends one replica.
     for body in 0..20_000 {
-        end_with(&mut book, 100 + EndId::from(body), &[request(body, 2)]);
+        end_with(&mut book, 100 + ExitId::from(body), &[request(body, 2)]);
     }
     assert!(book.summary().requests <= 4096, "{:?}", book.summary());
     assert!(book.cause(fatal, NOW).is_some());
@@ -177,9 +179,9 @@
 
 #[test]
 fn what_runs_well_takes_no_place_in_what_is_suspected() {
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashTracker::default();
     for body in 0..20_000 {
-        watch.note_good(request(body, 1), NOW);
+        watch.record_success(request(body, 1), NOW);
     }
     assert!(watch.book().is_empty());
     assert!(watch.tell(true, NOW).is_empty());
@@ -187,9 +189,9 @@
 
 #[test]
 fn a_message_fits_into_a_datagram() {
-    let mut teller = CrashTeller::default();
+    let mut teller = CrashReportQueue::default();
     for body in 0..300 {
-        teller.note_end(EndId::from(body / 100), ended(request(body, u64::MAX)), NOW);
+        teller.note_end(ExitId::from(body / 100), ended(request(body, u64::MAX)), NOW);
     }
     let messages = teller.tell(false, NOW);
     let told: usize =
@@ -202,7 +204,7 @@
 
 #[test]
 fn a_request_that_is_met_no_more_is_forgotten_and_one_that_comes_is_not() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTable::default();
     for end in 1..=3 {
         end_with(&mut book, end, &[request(1, 1), request(2, 2)]);
     }
@@ -216,7 +218,7 @@
 /// One thing that a process tells.
 #[derive(Clone, Copy, Debug)]
 enum Word {
-    Ended { end: EndId, body: u32, caller: u64, age: u64 },
+    Ended { end: ExitId, body: u32, caller: u64, age: u64 },
     Good { body: u32, caller: u64, age: u64 },
 }
 
@@ -231,18 +233,18 @@
     proptest::collection::vec(prop_oneof![5 => ended, 1 => good], 0..30)
 }
 
-fn told(word: Word) -> CrashBeacon {
+fn told(word: Word) -> CrashReport {
     match word {
         // Every process notices an end at the same time.
         Word::Ended { end, body, caller, age } => {
             let age = Duration::from_secs(age / 50 + end * 8);
-            let report = EndReport { end, age, requests: vec![ended(request(body, caller))] };
-            CrashBeacon { ends: vec![report], good: Vec::new() }
+            let report = ExitReport { end, age, requests: vec![ended(request(body, caller))] };
+            CrashReport { ends: vec![report], good: Vec::new() }
         },
         Word::Good { body, caller, age } => {
             let good =
-                GoodReport { identity: request(body, caller), age: Duration::from_secs(age) };
-            CrashBeacon { ends: Vec::new(), good: vec![good] }
+                SuccessReport { identity: request(body, caller), age: Duration::from_secs(age) };
+            CrashReport { ends: Vec::new(), good: vec![good] }
         },
     }
 }
@@ -258,7 +260,7 @@
         let mut turned = ends.clone();
         turned.rotate_left(turn % ends.len().max(1));
         turned.extend(ends.iter().rev());
-        let (mut one, mut other) = (CrashBook::default(), CrashBook::default());
+        let (mut one, mut other) = (CrashTable::default(), CrashTable::default());
         for word in &ends {
             one.take(&told(*word), NOW);
         }
@@ -274,13 +276,13 @@
     /// A request of a caller that ran well after all of its ends is never refused.
     #[test]
     fn a_good_run_after_all_ends_clears_its_caller(words in words()) {
-        let mut book = CrashBook::default();
+        let mut book = CrashTable::default();
         for word in &words {
             book.take(&told(*word), NOW);
         }
         for body in 0..3 {
             for caller in 0..3 {
-                book.note_good(request(body, caller), NOW);
+                book.record_success(request(body, caller), NOW);
                 prop_assert!(book.cause(request(body, caller), NOW).is_none());
             }
         }
--- a/quillcove_core/tests/crash_fleet/mod.rs
+++ b/quillcove_core/tests/crash_fleet/mod.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use quillcove_core::crash::book::{CrashBook, MOST_ENDS};
+use quillcove_core::crash::book::{CrashTable, MOST_ENDS};
 use quillcove_core::crash::digest::{RequestDigest, RequestIdentity, RequestParts};
 use quillcove_core::crash::teller::in_messages;
-use quillcove_core::crash::telling::CrashBeacon;
-use quillcove_core::crash::watch::{AnswerBreak, CrashWatch, ReplicaRun};
+use quillcove_core::crash::telling::CrashReport;
+use quillcove_core::crash::watch::{CrashTracker, ReplicaRun, ResponseAbort};
 
 /// Time between two steps of the fleet.
 const STEP: Duration = Duration::from_millis(10);
@@ -139,9 +139,9 @@
 }
 
 struct Relay {
-    watch: CrashWatch,
+    watch: CrashTracker,
     /// What it keeps for others, where three relays are told by digest.
-    home: CrashBook,
+    home: CrashTable,
     homed: BTreeMap<RequestDigest, usize>,
     started: Duration,
     frozen_until: Duration,
@@ -152,8 +152,8 @@
 impl Relay {
     fn new(now: Duration) -> Self {
         Self {
-            watch: CrashWatch::default(),
-            home: CrashBook::default(),
+            watch: CrashTracker::default(),
+            home: CrashTable::default(),
             homed: BTreeMap::new(),
             started: now,
             frozen_until: Duration::ZERO,
@@ -179,8 +179,8 @@
 }
 
 impl Running {
-    fn answer_break(&self, now: Duration) -> AnswerBreak {
-        AnswerBreak { identity: self.identity, has_begun: self.has_begun(now), sent_at: now }
+    fn answer_break(&self, now: Duration) -> ResponseAbort {
+        ResponseAbort { identity: self.identity, has_begun: self.has_begun(now), sent_at: now }
     }
 
     fn has_begun(&self, now: Duration) -> bool {
@@ -195,10 +195,10 @@
 }
 
 enum Word {
-    ToRelay(usize, CrashBeacon),
+    ToRelay(usize, CrashReport),
     /// To a relay as one of three for the digests in it.
-    ToHome(usize, CrashBeacon),
-    ToLoader(usize, CrashBeacon),
+    ToHome(usize, CrashReport),
+    ToLoader(usize, CrashReport),
     AskOfLoader(usize, usize),
 }
 
@@ -215,7 +215,7 @@
     pattern: CrashPattern,
     way: TellingWay,
     relays: Vec<Relay>,
-    loaders: Vec<CrashBook>,
+    loaders: Vec<CrashTable>,
     places: Vec<Place>,
     running: Vec<Running>,
     confirms: VecDeque<(Duration, usize, ReplicaRun)>,
@@ -240,7 +240,7 @@
         pattern,
         way,
         relays: (0..pattern.relays).map(|_| Relay::new(Duration::ZERO)).collect(),
-        loaders: (0..pattern.replicas).map(|_| CrashBook::default()).collect(),
+        loaders: (0..pattern.replicas).map(|_| CrashTable::default()).collect(),
         places: (0..pattern.replicas as u64).map(place).collect(),
         running: Vec::new(),
         confirms: VecDeque::new(),
@@ -342,7 +342,7 @@
                     self.words.push((at, Word::ToRelay(to, beacon)));
                 },
                 Word::ToRelay(to, beacon) => {
-                    self.relays[to].watch.take(&beacon, now);
+                    self.relays[to].watch.apply_report(&beacon, now);
                 },
                 Word::ToHome(to, beacon) => self.take_home(to, &beacon, now),
                 Word::ToLoader(to, beacon) => {
@@ -358,9 +358,9 @@
     }
 
     /// One of the three relays for a digest: tells all once it has met it at a second end.
-    fn take_home(&mut self, home: usize, beacon: &CrashBeacon, now: Duration) {
+    fn take_home(&mut self, home: usize, beacon: &CrashReport, now: Duration) {
         self.relays[home].home.take(beacon, now);
-        let mut told = CrashBeacon::default();
+        let mut told = CrashReport::default();
         let digests: Vec<RequestDigest> = beacon
             .ends
             .iter()
@@ -395,7 +395,7 @@
         let hit: Vec<Running> = hit;
         for broken in hit {
             let relay = broken.relay;
-            if self.relays[relay].watch.note_broken(&run, broken.answer_break(now), now) {
+            if self.relays[relay].watch.record_abort(&run, broken.answer_break(now), now) {
                 self.confirms.push_back((now + CONFIRM_TIME, relay, run.clone()));
             }
             if let RunKind::Innocent { tries } = broken.kind {
@@ -414,7 +414,7 @@
             };
             if !fatal(&self.running[at]) {
                 let done = self.running.swap_remove(at);
-                self.relays[done.relay].watch.note_good(done.identity, now);
+                self.relays[done.relay].watch.record_success(done.identity, now);
                 continue;
             }
             let place = self.running[at].place;
@@ -444,7 +444,7 @@
             let Some((_, relay, run)) = self.confirms.pop_front() else {
                 return;
             };
-            self.relays[relay].watch.confirm_end(&run, now);
+            self.relays[relay].watch.confirm_exit(&run, now);
         }
     }
 
@@ -547,7 +547,7 @@
         }
     }
 
-    fn tell_one(&mut self, relay: usize, message: &CrashBeacon, now: Duration) {
+    fn tell_one(&mut self, relay: usize, message: &CrashReport, now: Duration) {
         let bytes = size_of(message);
         match self.way {
             TellingWay::Alone => {},
@@ -568,12 +568,12 @@
         }
     }
 
-    fn tell_homes(&mut self, relay: usize, message: &CrashBeacon, now: Duration) {
+    fn tell_homes(&mut self, relay: usize, message: &CrashReport, now: Duration) {
         for report in &message.ends {
             for ended in &report.requests {
                 let mut one = report.clone();
                 one.requests = vec![*ended];
-                let beacon = CrashBeacon { ends: vec![one], good: Vec::new() };
+                let beacon = CrashReport { ends: vec![one], good: Vec::new() };
                 let bytes = size_of(&beacon);
                 let first =
                     quillcove_core::rendezvous::weight("home", &ended.identity.digest.to_string());
@@ -584,7 +584,7 @@
             }
         }
         if !message.good.is_empty() {
-            let good = CrashBeacon { ends: Vec::new(), good: message.good.clone() };
+            let good = CrashReport { ends: Vec::new(), good: message.good.clone() };
             for to in 0..self.relays.len() {
                 self.send(relay, Word::ToRelay(to, good.clone()), size_of(&good), now);
             }
@@ -603,6 +603,6 @@
     }
 }
 
-fn size_of(beacon: &CrashBeacon) -> usize {
+fn size_of(beacon: &CrashReport) -> usize {
     postcard::to_stdvec(beacon).map_or(0, |bytes| bytes.len())
 }
--- a/quillcove_core/tests/entry_crashes.rs
+++ b/quillcove_core/tests/entry_crashes.rs
@@ -15,8 +15,8 @@
 use quillcove_core::crash::digest::{RequestIdentity, RequestParts};
 use quillcove_core::entry::EntryMachine;
 use quillcove_core::entry::event::{
-    AgentNews, AttemptEnd, EntryAction, EntryEvent, EntryRules, HostRecord, RepeatRule, RouteQuery,
-    RouteTarget,
+    AgentStatus, AttemptEnd, EntryAction, EntryEvent, EntryRules, HostRecord, RepeatRule,
+    RouteQuery, RouteTarget,
 };
 use quillcove_core::once::book::{BookLimits, OnceBook};
 use quillcove_core::verdict::{RefusalReason, RunVerdict, WorkRefusal};
@@ -40,8 +40,8 @@
         let rules = AgentRules { kind: UpstreamKind::Service, ..AgentRules::default() };
         let book = OnceBook::new(host, 5, [7; 32], BookLimits::default(), now);
         let mut agent = Self { machine: AgentMachine::new(host, 5, rules, book, now), now };
-        agent.feed(AgentEvent::BundleTaken(Arc::new(FleetBundle::default())));
-        agent.feed(AgentEvent::Reported(EngineReport::default()));
+        agent.feed(AgentEvent::BundleActivated(Arc::new(FleetBundle::default())));
+        agent.feed(AgentEvent::ReportReceived(EngineReport::default()));
         agent
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Runs a request, under which the upstream ends or not.
-    fn run(&mut self, attempt: u128, identity: RequestIdentity, is_fatal: bool) -> AgentNews {
+    fn run(&mut self, attempt: u128, identity: RequestIdentity, is_fatal: bool) -> AgentStatus {
         let order = RunOrder {
             attempt,
             incarnation: 5,
@@ -62,15 +62,15 @@
             claim: None,
             identity: Some(identity),
         };
-        self.feed(AgentEvent::Arrived(order));
+        self.feed(AgentEvent::AttemptReceived(order));
         if is_fatal {
-            self.feed(AgentEvent::Ended(attempt, RunEnd::Broken));
-            self.feed(AgentEvent::UpstreamLost);
-            self.feed(AgentEvent::Reported(EngineReport::default()));
+            self.feed(AgentEvent::RunEnded(attempt, RunEnd::Broken));
+            self.feed(AgentEvent::UpstreamUnreachable);
+            self.feed(AgentEvent::ReportReceived(EngineReport::default()));
         } else {
-            self.feed(AgentEvent::Ended(attempt, RunEnd::Complete(200)));
+            self.feed(AgentEvent::RunEnded(attempt, RunEnd::Complete(200)));
         }
-        self.machine.news()
+        self.machine.status()
     }
 }
 
@@ -95,7 +95,7 @@
             serves: "s".to_string(),
         };
         let records = HOSTS.iter().map(record).collect();
-        entry.feed(EntryEvent::HostsSeen(Some(records)));
+        entry.feed(EntryEvent::HostsRead(Some(records)));
         entry
     }
 
@@ -134,19 +134,21 @@
                 continue;
             };
             let order = match action {
-                EntryAction::Finish(_, refusal) => return (Some(refusal), sent),
+                EntryAction::Reject(_, refusal) => return (Some(refusal), sent),
                 EntryAction::Send(order) => order,
-                EntryAction::ReadHosts | EntryAction::SeekBundle | EntryAction::Stopped => continue,
+                EntryAction::ReadHosts | EntryAction::RequestBundle | EntryAction::Stopped => {
+                    continue;
+                },
             };
             sent += 1;
             let place = HOSTS.iter().position(|host| *host == order.host).unwrap();
             let news = agents[place].run(order.attempt, identity, is_fatal);
-            self.feed(EntryEvent::Heard(order.host.clone(), news));
+            self.feed(EntryEvent::StatusReceived(order.host.clone(), news));
             let broke = WorkRefusal::may_have_run(RefusalReason::UpstreamBroke);
             let end = if is_fatal { AttemptEnd::Refused(broke) } else { AttemptEnd::Answered };
             actions = self.feed(EntryEvent::AttemptEnded(order.attempt, end));
             if !is_fatal {
-                self.feed(EntryEvent::Done(request));
+                self.feed(EntryEvent::RequestDone(request));
                 return (None, sent);
             }
         }
@@ -182,7 +184,7 @@
         first.play(&mut agents, identity(1), true);
     }
     for (host, agent) in HOSTS.iter().zip(&agents) {
-        second.feed(EntryEvent::Heard(host.to_string(), agent.machine.news()));
+        second.feed(EntryEvent::StatusReceived(host.to_string(), agent.machine.status()));
     }
     assert_eq!(second.play(&mut agents, identity(1), true).1, 0);
 }
@@ -202,7 +204,7 @@
     let mut agent = TestAgent::new("u1");
     let news = agent.run(1, identity(1), false);
     assert!(news.crashes.is_empty());
-    agent.feed(AgentEvent::UpstreamLost);
-    agent.feed(AgentEvent::Reported(EngineReport::default()));
-    assert!(agent.machine.news().crashes.is_empty());
+    agent.feed(AgentEvent::UpstreamUnreachable);
+    agent.feed(AgentEvent::ReportReceived(EngineReport::default()));
+    assert!(agent.machine.status().crashes.is_empty());
 }
--- a/quillcove_core/tests/fatal_load.rs
+++ b/quillcove_core/tests/fatal_load.rs
@@ -8,21 +8,21 @@
 use std::time::Duration;
 
 use quillcove_core::crash::digest::{RequestIdentity, load_identity};
-use quillcove_core::crash::telling::CrashBeacon;
-use quillcove_core::crash::watch::{AnswerBreak, CrashWatch};
-use quillcove_core::relay::beacon::{AdapterKey, EngineReport, HeldAdapter, LoadAsk};
+use quillcove_core::crash::telling::CrashReport;
+use quillcove_core::crash::watch::{CrashTracker, ResponseAbort};
+use quillcove_core::relay::beacon::{AdapterKey, EngineReport, HeldAdapter, LoadRequest};
 use quillcove_core::relay::loader::LoaderMachine;
 use quillcove_core::relay::machine::{RelayChoice, RelayMachine, RelayQuery, RelayRules};
 use quillcove_core::relay::order::OrderOutcome;
 use quillcove_core::relay::replica::{ReplicaRecord, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use quillcove_core::verdict::RefusalReason;
 use relay_site::{address, engine_service, ms, stream_route};
 
 const NOW: Duration = Duration::from_secs(10);
 
-fn broke(identity: RequestIdentity, sent_at: Duration) -> AnswerBreak {
-    AnswerBreak { identity, has_begun: false, sent_at }
+fn broke(identity: RequestIdentity, sent_at: Duration) -> ResponseAbort {
+    ResponseAbort { identity, has_begun: false, sent_at }
 }
 
 fn broken_key() -> AdapterKey {
@@ -39,40 +39,40 @@
 }
 
 /// A loader whose engine ends under the load, if it is broken; what it tells.
-fn load_at(replica: &str, is_broken: bool) -> CrashBeacon {
+fn load_at(replica: &str, is_broken: bool) -> CrashReport {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
-    machine.take_report(report(1), NOW);
-    let ask = LoadAsk {
+    machine.record_report(report(1), NOW);
+    let ask = LoadRequest {
         replica: replica.to_string(),
         model: "m".to_string(),
         adapter: Some("a1".to_string()),
         version: Some(2),
         places: 4,
     };
-    machine.take_ask(ask, NOW);
+    machine.queue_load_request(ask, NOW);
     assert!(machine.next_order(NOW).is_some());
-    machine.end_order(OrderOutcome::Begun, NOW);
+    machine.complete_order(OrderOutcome::Begun, NOW);
     let later = NOW + Duration::from_secs(6);
     assert!(machine.next_order(later).is_none());
     let mut after = report(if is_broken { 2 } else { 1 });
     if !is_broken {
         after.adapters.push(HeldAdapter { key: broken_key(), version: 2 });
     }
-    let change = machine.take_report(after, later);
-    let mut watch = CrashWatch::default();
+    let change = machine.record_report(after, later);
+    let mut watch = CrashTracker::default();
     for load in change.broken {
-        watch.note_broken(&load.run, broke(load_identity(&load.key, load.version), NOW), NOW);
-        watch.confirm_end(&load.run, NOW);
+        watch.record_abort(&load.run, broke(load_identity(&load.key, load.version), NOW), NOW);
+        watch.confirm_exit(&load.run, NOW);
     }
     watch.tell(false, NOW).pop().unwrap_or_default()
 }
 
 #[test]
 fn a_load_under_which_three_engines_ended_is_told_to_relays_and_refused() {
-    let mut relay = CrashWatch::default();
+    let mut relay = CrashTracker::default();
     for replica in ["i-1", "i-2", "i-3"] {
         assert!(relay.cause(load_identity(&broken_key(), 2), NOW).is_none());
-        relay.take(&load_at(replica, true), NOW);
+        relay.apply_report(&load_at(replica, true), NOW);
     }
     assert!(relay.book().has_loads());
     assert!(relay.cause(load_identity(&broken_key(), 2), NOW).is_some());
@@ -87,9 +87,9 @@
 
 #[test]
 fn an_adapter_that_some_engine_holds_loads_well() {
-    let mut relay = CrashWatch::default();
+    let mut relay = CrashTracker::default();
     for replica in ["i-1", "i-2", "i-3"] {
-        relay.take(&load_at(replica, true), NOW);
+        relay.apply_report(&load_at(replica, true), NOW);
     }
     relay.note_seen_good(load_identity(&broken_key(), 2), NOW + Duration::from_secs(1));
     assert!(relay.cause(load_identity(&broken_key(), 2), NOW).is_none());
@@ -100,7 +100,12 @@
     let route = stream_route();
     let mut machine = RelayMachine::new(RelayRules::default(), 1);
     let services = vec![engine_service(100, 3.0)];
-    machine.take_sheet(RouteSheet::new(1, vec![route.clone()], services, CallerLimits::default()));
+    machine.apply_configuration(PublishedConfig::new(
+        1,
+        vec![route.clone()],
+        services,
+        CallerLimits::default(),
+    ));
     for port in 1..=3 {
         let record = example_record(&format!("i-{port}"));
         machine.list(ReplicaRecord { address: address(port), ..record }, NOW);
@@ -112,9 +117,9 @@
         adapter: Some(broken_key()),
         prompt_tokens: Some(1_100),
         received: NOW,
-        age: Duration::ZERO,
+        since_first_attempt: Duration::ZERO,
         deadline: NOW + ms(15_000),
-        looks: 0,
+        choice_count: 0,
         grant: None,
         identity: None,
     };
@@ -127,12 +132,12 @@
     machine.take_version(broken_key(), 2, false, NOW);
     assert!(matches!(machine.choose(&query, &[], NOW), RelayChoice::Wait(_)));
     for replica in ["i-1", "i-2", "i-3"] {
-        machine.crashes_mut().take(&load_at(replica, true), NOW);
+        machine.crashes_mut().apply_report(&load_at(replica, true), NOW);
     }
-    machine.take_asks();
+    machine.take_load_requests();
     let choice = machine.choose(&query, &[], NOW);
     assert!(
         matches!(choice, RelayChoice::Refuse(refusal) if refusal.reason == RefusalReason::EndsUpstreams)
     );
-    assert!(machine.take_asks().is_empty());
+    assert!(machine.take_load_requests().is_empty());
 }
--- a/quillcove_core/tests/fleet_words.rs
+++ b/quillcove_core/tests/fleet_words.rs
@@ -13,7 +13,7 @@
 use quillcove_core::relay::cell::CellPlan;
 use quillcove_core::relay::machine::{RelayChoice, RelayMachine, RelayRules};
 use quillcove_core::relay::replica::{ReplicaRecord, ReplicaState, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use quillcove_core::relay::telling::{ListRound, RelayDistance, SHORTEST_INTERVAL, lifetime};
 use relay_site::{address, engine_service, ms, stream_route};
 
@@ -143,7 +143,12 @@
     let rules = RelayRules { hall: "hall-0".to_string(), ..RelayRules::default() };
     let mut machine = RelayMachine::new(rules, 1);
     let services = vec![engine_service(10_000, 3.0)];
-    machine.take_sheet(RouteSheet::new(1, vec![stream_route()], services, CallerLimits::default()));
+    machine.apply_configuration(PublishedConfig::new(
+        1,
+        vec![stream_route()],
+        services,
+        CallerLimits::default(),
+    ));
     let records = (0..engines * 2).map(|number| record(number + 1, &hall(usize::from(number % 2))));
     machine.list_all(records.collect(), ms(0));
     machine
@@ -175,7 +180,7 @@
     let near: Vec<String> = machine.near_engines("s").map(|view| view.record.id.clone()).collect();
     for replica in &near {
         for _ in 0..8 {
-            machine.begin(replica, None, ms(1));
+            machine.begin_attempt(replica, None, ms(1));
         }
     }
     let replica = chosen(&mut machine, 2).unwrap();
--- a/quillcove_core/tests/fuzz_agent.rs
+++ b/quillcove_core/tests/fuzz_agent.rs
@@ -19,7 +19,7 @@
 use quillcove_core::fence::OrderFence;
 use quillcove_core::ids::AttemptId;
 use quillcove_core::once::book::{BookLimits, OnceBook};
-use quillcove_core::permit::PermitAnswer;
+use quillcove_core::permit::PermitResponse;
 use quillcove_core::verdict::RunVerdict;
 
 /// Adapters asked for.
@@ -170,7 +170,7 @@
 
     fn watch(&mut self, action: AgentAction) {
         match action {
-            AgentAction::Start(attempt) => self.watch_start(attempt),
+            AgentAction::StartAttempt(attempt) => self.watch_start(attempt),
             AgentAction::Refuse(attempt, refusal) if refusal.verdict == RunVerdict::NotRun => {
                 let fate = self.fates.get(&attempt);
                 assert_ne!(fate, Some(&Fate::Running), "{attempt} runs and is not-run");
@@ -181,8 +181,8 @@
                 assert_ne!(self.fates.get(&attempt), Some(&Fate::Running));
                 self.told_not_run.insert(attempt);
             },
-            AgentAction::Send(order) => self.watch_order(order),
-            AgentAction::AskPermit(_) => self.permit_asked = true,
+            AgentAction::SendOrder(order) => self.watch_order(order),
+            AgentAction::RequestPermit(_) => self.permit_asked = true,
             AgentAction::Stopped => {
                 assert!(self.is_stopping);
                 assert!(!self.fates.values().any(|fate| *fate != Fate::Over), "work is left");
@@ -297,7 +297,7 @@
             self.end_run(attempt, RunEnd::Broken);
         }
         let report = self.report();
-        self.feed(AgentEvent::Reported(report));
+        self.feed(AgentEvent::ReportReceived(report));
     }
 
     /// One of the latest attempts.
@@ -321,7 +321,7 @@
         if let (RunEnd::Broken, Some(WorkTarget::Adapter(adapter))) = (end, target) {
             self.noticing.push((self.now + NOTICE, adapter));
         }
-        self.feed(AgentEvent::Ended(attempt, end));
+        self.feed(AgentEvent::RunEnded(attempt, end));
     }
 
     fn arrive(&mut self, adapter: usize, class: WorkClass, seconds: u64) {
@@ -338,7 +338,7 @@
         self.attempts.push(order.clone());
         self.fates.insert(order.attempt, Fate::Waiting);
         // The new one counts once it is taken; the machine refuses others to make room for it.
-        self.feed(AgentEvent::Arrived(order));
+        self.feed(AgentEvent::AttemptReceived(order));
     }
 }
 
@@ -357,7 +357,7 @@
         let mut rules = AgentRules { queue_limit: QUEUE_LIMIT, ..AgentRules::default() };
         match rule {
             WrongRule::NoMarks => rules.mark_lifetime = Duration::ZERO,
-            WrongRule::NoPauseCheck => rules.pause_limit = Duration::from_secs(3600),
+            WrongRule::NoPauseCheck => rules.suspension_limit = Duration::from_secs(3600),
             WrongRule::NoLingering => rules.settle_time = Duration::ZERO,
             WrongRule::Right => {},
         }
@@ -389,9 +389,9 @@
             ));
         }
         let bundle = Arc::new(parse(&text).unwrap());
-        watched.feed(AgentEvent::BundleTaken(bundle));
+        watched.feed(AgentEvent::BundleActivated(bundle));
         let report = watched.report();
-        watched.feed(AgentEvent::Reported(report));
+        watched.feed(AgentEvent::ReportReceived(report));
         watched
     }
 
@@ -400,7 +400,7 @@
             Step::Arrive { adapter, class, seconds } => watched.arrive(adapter, class, seconds),
             Step::Copy(place) => {
                 if let Some(order) = watched.recent(place) {
-                    watched.feed(AgentEvent::Arrived(order));
+                    watched.feed(AgentEvent::AttemptReceived(order));
                 }
             },
             Step::Withdraw(place) => {
@@ -422,14 +422,14 @@
             },
             Step::Report => {
                 let report = watched.report();
-                watched.feed(AgentEvent::Reported(report));
+                watched.feed(AgentEvent::ReportReceived(report));
             },
             Step::RestartEngine => watched.restart_engine(),
             Step::Permit(granted) => {
                 if std::mem::take(&mut watched.permit_asked) {
                     let answer = match granted {
-                        true => PermitAnswer::Granted,
-                        false => PermitAnswer::Wait(Duration::from_millis(100)),
+                        true => PermitResponse::Granted,
+                        false => PermitResponse::Wait(Duration::from_millis(100)),
                     };
                     watched.feed(AgentEvent::PermitAnswered(answer));
                 }
@@ -446,12 +446,12 @@
                     Some(state) => state == HostState::Leaving,
                     None => watched.is_leaving,
                 };
-                watched.feed(AgentEvent::HostSeen(state));
+                watched.feed(AgentEvent::HostStateRead(state));
             },
-            Step::LoseUpstream => watched.feed(AgentEvent::UpstreamLost),
+            Step::LoseUpstream => watched.feed(AgentEvent::UpstreamUnreachable),
             Step::Stop => {
                 watched.is_stopping = true;
-                watched.feed(AgentEvent::StopAsked);
+                watched.feed(AgentEvent::StopRequested);
             },
         }
         watched
--- a/quillcove_core/tests/fuzz_entry.rs
+++ b/quillcove_core/tests/fuzz_entry.rs
@@ -11,7 +11,7 @@
 use quillcove_core::class::WorkClass;
 use quillcove_core::entry::EntryMachine;
 use quillcove_core::entry::event::{
-    AgentNews, AttemptEnd, AttemptOrder, EntryAction, EntryEvent, EntryRules, HostRecord,
+    AgentStatus, AttemptEnd, AttemptOrder, EntryAction, EntryEvent, EntryRules, HostRecord,
     RepeatRule, RouteQuery, RouteTarget,
 };
 use quillcove_core::ids::RequestId;
@@ -133,13 +133,13 @@
         for action in actions {
             match action {
                 EntryAction::Send(order) => self.watch_send(order),
-                EntryAction::Finish(request, refusal) => self.watch_finish(request, &refusal),
+                EntryAction::Reject(request, refusal) => self.watch_finish(request, &refusal),
                 EntryAction::Stopped => {
                     let is_open = self.requests.values().any(|watch| !watch.is_over);
                     assert!(self.is_stopping && !is_open, "stopped with work left");
                     self.has_stopped = true;
                 },
-                EntryAction::ReadHosts | EntryAction::SeekBundle => {},
+                EntryAction::ReadHosts | EntryAction::RequestBundle => {},
             }
         }
     }
@@ -194,7 +194,7 @@
         let answered: Vec<RequestId> = answered.map(|(request, _)| *request).collect();
         let Some(place) = place.checked_rem(answered.len()) else { return };
         self.requests.get_mut(&answered[place]).expect("it was listed").is_over = true;
-        self.feed(EntryEvent::Done(answered[place]));
+        self.feed(EntryEvent::RequestDone(answered[place]));
     }
 
     fn ask(&mut self, once: bool, seconds: u64) {
@@ -233,7 +233,7 @@
             };
             hosts.into_iter().enumerate().map(record).collect()
         });
-        self.feed(EntryEvent::HostsSeen(records));
+        self.feed(EntryEvent::HostsRead(records));
     }
 }
 
@@ -249,7 +249,7 @@
         let mut rules = EntryRules { attempt_limit: ATTEMPT_LIMIT, ..EntryRules::default() };
         match rule {
             WrongRule::Right | WrongRule::RepeatsOnce => {},
-            WrongRule::NoPauseCheck => rules.pause_limit = Duration::from_secs(3600),
+            WrongRule::NoPauseCheck => rules.suspension_limit = Duration::from_secs(3600),
             WrongRule::NoAttemptLimit => rules.attempt_limit = 100,
         }
         let mut watched = Watched {
@@ -273,7 +273,7 @@
             Step::End(place, end) => watched.end_attempt(place, end),
             Step::Finish(place) => watched.finish(place),
             Step::Hear { host, incarnation, leaving } => {
-                let news = AgentNews {
+                let news = AgentStatus {
                     incarnation,
                     leaving,
                     running: 0,
@@ -283,7 +283,7 @@
                     crashes: Default::default(),
                     rest_ms: 0,
                 };
-                watched.feed(EntryEvent::Heard(format!("h{host}"), news));
+                watched.feed(EntryEvent::StatusReceived(format!("h{host}"), news));
             },
             Step::Hosts(hosts) => watched.see_hosts(hosts),
             Step::Advance(millis) => {
@@ -294,7 +294,7 @@
             },
             Step::Stop => {
                 watched.is_stopping = true;
-                watched.feed(EntryEvent::StopAsked);
+                watched.feed(EntryEvent::StopRequested);
             },
         }
         watched
--- a/quillcove_core/tests/fuzz_relay.rs
+++ b/quillcove_core/tests/fuzz_relay.rs
@@ -11,14 +11,14 @@
 
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
-use quillcove_core::relay::beacon::{AdapterKey, EngineBeacon, EngineReport, HeldAdapter};
+use quillcove_core::relay::beacon::{AdapterKey, EngineHeartbeat, EngineReport, HeldAdapter};
 use quillcove_core::relay::machine::{
     AttemptOrder, RelayChoice, RelayMachine, RelayQuery, RelayRules,
 };
 use quillcove_core::relay::position::{ReadPositions, StorePosition};
 use quillcove_core::relay::published::PublishedState;
-use quillcove_core::relay::replica::{AttemptFate, ReplicaRecord, ReplicaState, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::replica::{AttemptOutcome, ReplicaRecord, ReplicaState, example_record};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use quillcove_core::route::{RouteKind, RouteRecord, RouteShare};
 use quillcove_core::standing::limit::RateLimit;
 use quillcove_core::standing::notice::UpstreamNotice;
@@ -61,7 +61,7 @@
     Version(u8, u32),
     /// A request that names an adapter, or none.
     Ask(Option<u8>),
-    End(usize, AttemptFate),
+    End(usize, AttemptOutcome),
     /// The answer to an attempt in flight says that its replica leaves, or wants rest for so many milliseconds.
     Say(usize, Option<u64>),
     /// The answer to one names so many requests in ten seconds as its replica's limit, or is good and names none.
@@ -82,10 +82,10 @@
 
     fn transitions((): &()) -> BoxedStrategy<Step> {
         let fate = prop_oneof![
-            3 => Just(AttemptFate::Answered),
-            1 => Just(AttemptFate::Refused),
-            2 => Just(AttemptFate::Failed),
-            1 => Just(AttemptFate::Abandoned),
+            3 => Just(AttemptOutcome::Answered),
+            1 => Just(AttemptOutcome::Refused),
+            2 => Just(AttemptOutcome::Failed),
+            1 => Just(AttemptOutcome::Abandoned),
         ];
         prop_oneof![
             4 => (0..ADDRESSES).prop_map(Step::Start),
@@ -147,7 +147,7 @@
         prop_oneof![
             1 => (0..2usize).prop_map(Step::Start),
             30 => Just(Step::Ask(None)),
-            20 => any::<usize>().prop_map(|place| Step::End(place, AttemptFate::Answered)),
+            20 => any::<usize>().prop_map(|place| Step::End(place, AttemptOutcome::Answered)),
             8 => (1..300u64).prop_map(Step::Advance),
             6 => limit.prop_map(|(place, limit)| Step::Limit(place, limit)),
         ]
@@ -294,7 +294,7 @@
         watched
     }
 
-    fn sheet_of(&self, version: u64) -> RouteSheet {
+    fn sheet_of(&self, version: u64) -> PublishedConfig {
         let limit = match self.rule {
             WrongRule::NoConnectionLimit => 10_000,
             _ => CONNECTIONS,
@@ -306,12 +306,12 @@
             _ => version,
         };
         let services = vec![engine_service(limit, 3.0)];
-        RouteSheet::new(number, vec![route], services, CallerLimits::default())
+        PublishedConfig::new(number, vec![route], services, CallerLimits::default())
     }
 
     fn take_sheet(&mut self, version: u64) {
         let sheet = self.sheet_of(version);
-        self.machine.take_sheet(sheet);
+        self.machine.apply_configuration(sheet);
         self.check_sheet(version);
     }
 
@@ -408,7 +408,7 @@
             WrongRule::MixesReports => (place + 1) % ADDRESSES,
             _ => place,
         };
-        let beacon = EngineBeacon {
+        let beacon = EngineHeartbeat {
             host: format!("h{place}"),
             engine: address(1 + told as u16),
             number: self.beacons,
@@ -452,8 +452,8 @@
             received: self.now,
             deadline,
             prompt_tokens: None,
-            age: Duration::ZERO,
-            looks: 0,
+            since_first_attempt: Duration::ZERO,
+            choice_count: 0,
             grant: None,
             identity: None,
         };
@@ -493,17 +493,17 @@
         }
         known.in_flight += 1;
         assert!(known.in_flight <= CONNECTIONS, "too many connections");
-        self.machine.begin(&replica, adapter.map(key).as_ref(), self.now);
+        self.machine.begin_attempt(&replica, adapter.map(key).as_ref(), self.now);
         self.out.push((replica, adapter, self.now));
     }
 
-    fn end(&mut self, place: usize, fate: AttemptFate) {
+    fn end(&mut self, place: usize, fate: AttemptOutcome) {
         let Some(place) = place.checked_rem(self.out.len()) else { return };
         let (replica, adapter, _) = self.out.remove(place);
         if let Some(known) = self.known.get_mut(&replica) {
             known.in_flight -= 1;
         }
-        self.machine.end(&replica, adapter.map(key).as_ref(), fate, self.now);
+        self.machine.end_attempt(&replica, adapter.map(key).as_ref(), fate, self.now);
         self.machine.finish();
     }
 
@@ -524,7 +524,7 @@
         };
         if is_heard {
             let order = AttemptOrder::to(&example_record(&replica));
-            self.machine.note_said(&order, &notice, self.now);
+            self.machine.record_notice(&order, &notice, self.now);
         }
     }
 
@@ -540,19 +540,19 @@
             Some(_) if self.rule == WrongRule::DeafToLimit => {},
             Some(_) => {
                 let notice = UpstreamNotice { limit, ..UpstreamNotice::default() };
-                self.machine.note_said(&order, &notice, self.now);
+                self.machine.record_notice(&order, &notice, self.now);
             },
             None => {
                 if self.rule == WrongRule::AnyAnswerEndsLimit {
                     order.chosen_at = self.now;
                 }
-                self.machine.note_no_limit(&order, self.now);
+                self.machine.record_no_limit(&order, self.now);
             },
         }
     }
 
     fn repeat(&mut self) {
-        let is_allowed = self.machine.take_repeat("s");
+        let is_allowed = self.machine.take_retry("s");
         if is_allowed || self.rule == WrongRule::RepeatsFreely {
             self.repeats += 1;
         }
--- a/quillcove_core/tests/limit_fleet/mod.rs
+++ b/quillcove_core/tests/limit_fleet/mod.rs
@@ -6,7 +6,7 @@
 
 use quillcove_core::access::ledger::{FleetSize, HEARD_LIFETIME, LimitLedger};
 use quillcove_core::access::limit::{LimitRule, LimitRules, UseClaim, UseLimit, UseUnit};
-use quillcove_core::access::spending::SpendBeacon;
+use quillcove_core::access::spending::UsageReport;
 use quillcove_core::access::workspace::WorkspaceRecord;
 
 /// Time between two steps of the fleet.
@@ -113,7 +113,7 @@
     /// A beacon of a relay that has just started.
     Greeting,
     Beacon,
-    Spent(SpendBeacon),
+    Spent(UsageReport),
 }
 
 struct Relay {
@@ -273,14 +273,14 @@
         let is_recent =
             |heard: &&Option<Duration>| heard.is_some_and(|at| now < at + HEARD_LIFETIME);
         let heard = relay.heard.iter().filter(is_recent).count() + 1;
-        relay.ledger.set_fleet(FleetSize { heard, most: relay.most }, own);
+        relay.ledger.set_fleet(FleetSize { reachable: heard, most: relay.most }, own);
         let spent = relay.ledger.tell(is_beacon, own);
         if spent.is_empty() {
             return;
         }
         let (host, incarnation) = (place.to_string(), relay.incarnation);
         let levels = Vec::new();
-        let beacon = SpendBeacon { host, incarnation, uptime: own, spent, levels };
+        let beacon = UsageReport { host, incarnation, uptime: own, spent, levels };
         self.send(place, || Word::Spent(beacon.clone()), now);
     }
 
@@ -313,7 +313,7 @@
                         self.answer(to, from, now);
                     }
                 },
-                Word::Spent(beacon) => relay.ledger.take_told(&beacon, |_| limit, own),
+                Word::Spent(beacon) => relay.ledger.record_report(&beacon, |_| limit, own),
             }
         }
     }
@@ -325,7 +325,7 @@
         let levels = relay.ledger.levels(own);
         let (host, incarnation) = (from.to_string(), relay.incarnation);
         let (uptime, spent) = (own, Vec::new());
-        let beacon = SpendBeacon { host, incarnation, uptime, spent, levels };
+        let beacon = UsageReport { host, incarnation, uptime, spent, levels };
         let is_lost = self.draws.next() < self.pattern.loss;
         if !is_lost && !self.is_cut(from, to, now) {
             let at = now + self.pattern.delay;
--- a/quillcove_core/tests/model/engine_world.rs
+++ b/quillcove_core/tests/model/engine_world.rs
@@ -151,7 +151,7 @@
         };
         world.take_bundle(1);
         let report = world.report();
-        world.feed(AgentEvent::Reported(report));
+        world.feed(AgentEvent::ReportReceived(report));
         if !world.orders.is_empty() {
             world.deliver(0);
         }
@@ -175,8 +175,8 @@
     fn agent(rule: WrongRule, number: Incarnation, now: MonoTime) -> AgentMachine {
         let rules = AgentRules {
             pacing: PacingRule::None,
-            least_term: number,
-            pause_limit: Duration::from_secs(3600),
+            min_term: number,
+            suspension_limit: Duration::from_secs(3600),
             settle_time: match rule {
                 WrongRule::NoSettling | WrongRule::UnpinBroken => Duration::ZERO,
                 _ => SETTLE,
@@ -201,19 +201,19 @@
 
     fn carry_out(&mut self, action: AgentAction) {
         match action {
-            AgentAction::Start(attempt) => self.start(attempt),
+            AgentAction::StartAttempt(attempt) => self.start(attempt),
             AgentAction::Refuse(attempt, refusal) if refusal.verdict == RunVerdict::NotRun => {
                 self.tell_not_run(attempt);
             },
             AgentAction::AnswerWithdrawal(attempt, WithdrawAnswer::NotRun) => {
                 self.tell_not_run(attempt);
             },
-            AgentAction::Send(order)
+            AgentAction::SendOrder(order)
                 if self.rule == WrongRule::NoClaim && order.kind == OrderKind::Claim =>
             {
                 self.feed(AgentEvent::OrderEnded(order.fence, OrderEnd::Done));
             },
-            AgentAction::Send(order) => {
+            AgentAction::SendOrder(order) => {
                 self.awaited = Some(order.fence);
                 self.orders.push(order);
             },
@@ -244,7 +244,7 @@
 
     fn take_bundle(&mut self, version: BundleVersion) {
         self.agent_bundle = version;
-        self.feed(AgentEvent::BundleTaken(bundle(version)));
+        self.feed(AgentEvent::BundleActivated(bundle(version)));
     }
 
     fn report(&self) -> EngineReport {
@@ -322,7 +322,7 @@
                 let next = self.with(|world| {
                     world.left.arrivals -= 1;
                     world.arrived.push(order.clone());
-                    world.feed(AgentEvent::Arrived(order));
+                    world.feed(AgentEvent::AttemptReceived(order));
                 });
                 steps.push((format!("attempt {attempt} for {name} arrives"), next));
             }
@@ -333,7 +333,7 @@
                 let next = self.with(|world| {
                     world.left.copies -= 1;
                     world.feed(AgentEvent::Ticked);
-                    world.feed(AgentEvent::Arrived(order.clone()));
+                    world.feed(AgentEvent::AttemptReceived(order.clone()));
                 });
                 steps.push((format!("a copy of attempt {attempt} arrives"), next));
             }
@@ -381,7 +381,7 @@
                     let next = self.with(|world| {
                         world.runs.remove(&attempt);
                         world.engine.running.remove(&attempt);
-                        world.feed(AgentEvent::Ended(attempt, RunEnd::Complete(200)));
+                        world.feed(AgentEvent::RunEnded(attempt, RunEnd::Complete(200)));
                     });
                     steps.push((format!("attempt {attempt} is answered whole"), next));
                 },
@@ -407,13 +407,13 @@
         if !self.engine.loaded.contains(adapter) {
             self.runs.remove(&attempt);
             self.tell_not_run(attempt);
-            self.feed(AgentEvent::Ended(attempt, RunEnd::NotRun));
+            self.feed(AgentEvent::RunEnded(attempt, RunEnd::NotRun));
             return;
         }
         self.engine.running.insert(attempt, adapter.clone());
         self.runs.insert(attempt, (adapter.clone(), RunState::Begun));
         if self.rule == WrongRule::UnpinAtFirstByte {
-            self.feed(AgentEvent::Ended(attempt, RunEnd::Complete(200)));
+            self.feed(AgentEvent::RunEnded(attempt, RunEnd::Complete(200)));
         }
     }
 
@@ -423,15 +423,15 @@
         }
         if self.rule == WrongRule::BrokenIsNotRun {
             self.tell_not_run(attempt);
-            self.feed(AgentEvent::Ended(attempt, RunEnd::NotRun));
+            self.feed(AgentEvent::RunEnded(attempt, RunEnd::NotRun));
         } else {
-            self.feed(AgentEvent::Ended(attempt, RunEnd::Broken));
+            self.feed(AgentEvent::RunEnded(attempt, RunEnd::Broken));
         }
     }
 
     fn report_steps(&self, steps: &mut Vec<(String, Self)>) {
         let report = self.report();
-        let next = self.with(|world| world.feed(AgentEvent::Reported(report.clone())));
+        let next = self.with(|world| world.feed(AgentEvent::ReportReceived(report.clone())));
         steps.push(("the engine reports".to_string(), next));
         if self.left.late_reports > 0 && self.late_report.is_none() {
             let next = self.with(|world| {
@@ -443,7 +443,7 @@
         if let Some(report) = &self.late_report {
             let next = self.with(|world| {
                 world.late_report = None;
-                world.feed(AgentEvent::Reported(report.clone()));
+                world.feed(AgentEvent::ReportReceived(report.clone()));
             });
             steps.push(("the late report arrives".to_string(), next));
         }
@@ -470,7 +470,7 @@
         if self.left.stops > 0 {
             let next = self.with(|world| {
                 world.left.stops -= 1;
-                world.feed(AgentEvent::StopAsked);
+                world.feed(AgentEvent::StopRequested);
             });
             steps.push(("the agent is asked to stop".to_string(), next));
         }
@@ -499,7 +499,7 @@
         for attempt in begun {
             let (_, state) = self.runs.remove(&attempt).expect("it was listed");
             if state != RunState::Abandoned {
-                self.feed(AgentEvent::Ended(attempt, RunEnd::Broken));
+                self.feed(AgentEvent::RunEnded(attempt, RunEnd::Broken));
             }
         }
         // An engine that forgot its fences can not bear witness to older orders.
@@ -516,7 +516,7 @@
         }
         self.floor = self.engine.highest.bundle;
         self.agent_bundle = version;
-        self.feed(AgentEvent::BundleTaken(bundle(version)));
+        self.feed(AgentEvent::BundleActivated(bundle(version)));
     }
 }
 
--- a/quillcove_core/tests/model/once_world.rs
+++ b/quillcove_core/tests/model/once_world.rs
@@ -123,7 +123,7 @@
         let entry = |seed| {
             let mut machine = EntryMachine::new(EntryRules::default(), seed, NOW);
             let hosts = HOSTS.map(record).to_vec();
-            machine.handle(NOW, EntryEvent::HostsSeen(Some(hosts)), &mut Vec::new());
+            machine.handle(NOW, EntryEvent::HostsRead(Some(hosts)), &mut Vec::new());
             machine
         };
         let mut agents = [Self::agent(rule, 0, 1), Self::agent(rule, 1, 1)];
@@ -132,7 +132,7 @@
                 Some(OnceClaim::Key("app".to_string(), "seat".to_string()))
             },
             OnceRule::Unnamed | OnceRule::RepeatsAnyway => None,
-            _ => Some(OnceClaim::Ticket(agents[0].book_mut().issue(NOW))),
+            _ => Some(OnceClaim::Ticket(agents[0].once_book_mut().issue(NOW))),
         };
         Self {
             rule,
@@ -178,8 +178,8 @@
         let mut machine = AgentMachine::new(host, incarnation, rules, book, NOW);
         let text = "[bundle]\nversion = 1\n[services.booking]\nreplicas = [\"s0\", \"s1\"]\n";
         let bundle = Arc::new(parse(text).expect("the bundle is right"));
-        machine.handle(NOW, AgentEvent::BundleTaken(bundle), &mut Vec::new());
-        let up = AgentEvent::Reported(EngineReport::default());
+        machine.handle(NOW, AgentEvent::BundleActivated(bundle), &mut Vec::new());
+        let up = AgentEvent::ReportReceived(EngineReport::default());
         machine.handle(NOW, up, &mut Vec::new());
         machine
     }
@@ -198,8 +198,8 @@
                 EntryAction::Send(order) => {
                     self.sent.push(SentAttempt { order, entry, is_awaited: true });
                 },
-                EntryAction::Finish(request, refusal) => self.tell_caller(request, &refusal),
-                EntryAction::ReadHosts | EntryAction::SeekBundle | EntryAction::Stopped => {},
+                EntryAction::Reject(request, refusal) => self.tell_caller(request, &refusal),
+                EntryAction::ReadHosts | EntryAction::RequestBundle | EntryAction::Stopped => {},
             }
         }
     }
@@ -220,7 +220,7 @@
         let mut answer = None;
         for action in actions {
             match action {
-                AgentAction::Start(attempt) => {
+                AgentAction::StartAttempt(attempt) => {
                     self.runs.insert((attempt, agent));
                 },
                 AgentAction::Refuse(attempt, refusal) => {
@@ -240,13 +240,13 @@
             return;
         }
         self.taken.insert(attempt, (entry, false));
-        let news = self.agents[agent].news();
-        self.feed_entry(entry, EntryEvent::Heard(HOSTS[agent].to_string(), news));
+        let news = self.agents[agent].status();
+        self.feed_entry(entry, EntryEvent::StatusReceived(HOSTS[agent].to_string(), news));
         let is_answer = end == AttemptEnd::Answered;
         self.feed_entry(entry, EntryEvent::AttemptEnded(attempt, end));
         if is_answer {
             self.open.remove(&request_of(attempt));
-            self.feed_entry(entry, EntryEvent::Done(request_of(attempt)));
+            self.feed_entry(entry, EntryEvent::RequestDone(request_of(attempt)));
         }
     }
 
@@ -294,7 +294,7 @@
             identity: None,
         };
         self.feed_agent(agent, AgentEvent::Ticked);
-        self.feed_agent(agent, AgentEvent::Arrived(order));
+        self.feed_agent(agent, AgentEvent::AttemptReceived(order));
     }
 
     /// The entry's connection breaks after the attempt was sent; it asks the agent.
@@ -371,7 +371,7 @@
             let next = self.with(|world| {
                 world.run(attempt, agent);
                 let end = RunEnd::Complete(200);
-                world.feed_agent(agent, AgentEvent::Ended(attempt, end));
+                world.feed_agent(agent, AgentEvent::RunEnded(attempt, end));
                 world.answer(agent, attempt, AttemptEnd::Answered);
             });
             steps.push((format!("the service runs attempt {attempt:x}"), next));
@@ -379,7 +379,7 @@
                 let next = self.with(|world| {
                     world.left.broken -= 1;
                     world.run(attempt, agent);
-                    world.feed_agent(agent, AgentEvent::Ended(attempt, RunEnd::Broken));
+                    world.feed_agent(agent, AgentEvent::RunEnded(attempt, RunEnd::Broken));
                     let reason = quillcove_core::verdict::RefusalReason::UpstreamBroke;
                     let refusal = WorkRefusal::may_have_run(reason);
                     world.answer(agent, attempt, AttemptEnd::Refused(refusal));
--- a/quillcove_core/tests/model/relay_world.rs
+++ b/quillcove_core/tests/model/relay_world.rs
@@ -9,7 +9,7 @@
 
 use quillcove_core::relay::machine::{RelayChoice, RelayMachine, RelayQuery, RelayRules};
 use quillcove_core::relay::replica::{ReplicaRecord, ReplicaState, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet, ServiceRecord};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig, ServiceRecord};
 use quillcove_core::route::{RouteKind, RouteRecord, RouteShare};
 
 use super::search::World;
@@ -119,7 +119,7 @@
             engine: None,
         };
         let limits = CallerLimits::default();
-        machine.take_sheet(RouteSheet::new(1, vec![route()], vec![service], limits));
+        machine.apply_configuration(PublishedConfig::new(1, vec![route()], vec![service], limits));
         for number in 0..REPLICAS {
             machine.list(record(number, ReplicaState::Ready), Duration::ZERO);
         }
@@ -180,7 +180,7 @@
             }
         }
         if next.rule != ListRule::LapseIsGone {
-            next.machine.note_store(false, next.now);
+            next.machine.set_store_reachable(false, next.now);
         }
         next
     }
@@ -190,7 +190,7 @@
         next.is_store_up = true;
         next.since_return = Some(0);
         if next.rule != ListRule::LapseIsKept {
-            next.machine.note_store(true, next.now);
+            next.machine.set_store_reachable(true, next.now);
         }
         next
     }
@@ -259,8 +259,8 @@
             received: self.now,
             deadline: self.now + Duration::from_secs(60),
             prompt_tokens: None,
-            age: Duration::ZERO,
-            looks: 0,
+            since_first_attempt: Duration::ZERO,
+            choice_count: 0,
             grant: None,
             identity: None,
         };
--- a/quillcove_core/tests/older_copy.rs
+++ b/quillcove_core/tests/older_copy.rs
@@ -9,7 +9,7 @@
 
 use proptest::prelude::*;
 use quillcove_core::ids::{MonoTime, StoreEra};
-use quillcove_core::relay::machine::{BeliefChange, RelayMachine, RelayRules};
+use quillcove_core::relay::machine::{RelayMachine, RelayRules, StateChange};
 use quillcove_core::relay::position::{ReadPositions, StorePosition};
 use quillcove_core::relay::published::{PublishedState, StoreEvent, StorePart};
 use quillcove_core::relay::replica::{ReplicaRecord, ReplicaState, example_record};
@@ -47,7 +47,7 @@
     machine: &mut RelayMachine,
     entries: Vec<ReplicaRecord>,
     now: MonoTime,
-) -> Vec<BeliefChange> {
+) -> Vec<StateChange> {
     machine.enter_era(2, now);
     let changes = machine.list_all(entries, now);
     machine.note_read(StorePart::Replicas, StorePosition { era: 2, revision: 70 });
@@ -106,13 +106,13 @@
 fn replicas_that_a_copy_lacks_take_work_until_they_had_time_to_list_themselves() {
     let mut machine = relay(&[10, 20, 30]);
     let changes = read_copy(&mut machine, vec![ready(10, 2)], ms(1_000));
-    let doubted = |number: u64| BeliefChange::Doubted(format!("i-{number}"));
+    let doubted = |number: u64| StateChange::Unconfirmed(format!("i-{number}"));
     assert_eq!(changes, [doubted(20), doubted(30)]);
     assert!(takes_work(&machine, "i-20") && takes_work(&machine, "i-30"));
     let again = ReplicaRecord { created: StorePosition { era: 2, revision: 75 }, ..ready(20, 2) };
-    assert_eq!(machine.list(again, ms(2_000)), [BeliefChange::Returned("i-20".to_string())]);
+    assert_eq!(machine.list(again, ms(2_000)), [StateChange::Returned("i-20".to_string())]);
     let changes = machine.tick(ms(1_000) + DOUBT_TIME);
-    assert_eq!(changes, [BeliefChange::Gone("i-30".to_string())]);
+    assert_eq!(changes, [StateChange::Gone("i-30".to_string())]);
     assert!(takes_work(&machine, "i-20"));
 }
 
@@ -124,7 +124,7 @@
     let replicas = vec![ready(10, 2)];
     let published = PublishedState { read, replicas, ..PublishedState::default() };
     let changes = machine.take_published(published, ms(1_000));
-    assert_eq!(changes, [BeliefChange::Doubted("i-20".to_string())]);
+    assert_eq!(changes, [StateChange::Unconfirmed("i-20".to_string())]);
     assert!(takes_work(&machine, "i-20"));
     assert_eq!(machine.read(), read);
 }
@@ -147,14 +147,14 @@
     assert!(machine.set_all_emptied(&[], ms(1_000)).is_empty());
     assert!(!takes_work(&machine, "i-10"));
     // Named again, it stays so.
-    machine.set_emptied("hall-a", true);
+    machine.set_evacuated("hall-a", true);
     assert!(machine.tick(ms(1_000) + DOUBT_TIME).is_empty());
     assert!(!takes_work(&machine, "i-10"));
     // Not named again, it comes into use.
     machine.enter_era(3, ms(9_000));
     machine.set_all_emptied(&[], ms(9_000));
     let changes = machine.tick(ms(9_000) + DOUBT_TIME);
-    assert_eq!(changes, [BeliefChange::HallInUse("hall-a".to_string())]);
+    assert_eq!(changes, [StateChange::HallInUse("hall-a".to_string())]);
     assert!(takes_work(&machine, "i-10"));
 }
 
--- a/quillcove_core/tests/rate_fleet/mod.rs
+++ b/quillcove_core/tests/rate_fleet/mod.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 use quillcove_core::ids::MonoTime;
-use quillcove_core::relay::beacon::{LimitBeacon, OtherRelays};
+use quillcove_core::relay::beacon::{LimitUpdate, OtherRelays};
 use quillcove_core::relay::machine::{
     AttemptOrder, RelayChoice, RelayMachine, RelayQuery, RelayRules,
 };
 use quillcove_core::relay::policy::RelayPolicy;
-use quillcove_core::relay::replica::{AttemptFate, ReplicaRecord, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet, ServiceRecord};
+use quillcove_core::relay::replica::{AttemptOutcome, ReplicaRecord, example_record};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig, ServiceRecord};
 use quillcove_core::route::{RouteKind, RouteRecord, RouteShare};
 use quillcove_core::standing::limit::RateLimit;
 use quillcove_core::standing::notice::UpstreamNotice;
@@ -70,7 +70,7 @@
     Reach(SimAttempt),
     Answer(SimAttempt, u64, Option<f64>),
     Beacon(usize, u32),
-    Heard(usize, Option<LimitBeacon>),
+    Heard(usize, Option<LimitUpdate>),
     Need(Option<f64>),
     Freeze,
     Restart,
@@ -200,7 +200,12 @@
             engine: None,
         };
         let route = RouteRecord::clone(&self.route);
-        machine.take_sheet(RouteSheet::new(1, vec![route], vec![service], CallerLimits::default()));
+        machine.apply_configuration(PublishedConfig::new(
+            1,
+            vec![route],
+            vec![service],
+            CallerLimits::default(),
+        ));
         for replica in &self.replicas {
             machine.list(record_of(replica), self.now);
         }
@@ -333,16 +338,16 @@
             adapter: None,
             prompt_tokens: None,
             received: now,
-            age: Duration::ZERO,
+            since_first_attempt: Duration::ZERO,
             deadline,
-            looks: 0,
+            choice_count: 0,
             grant: None,
             identity: None,
         };
         let sim = &mut self.relays[relay];
         match sim.machine.choose(&query, tried, now) {
             RelayChoice::Send(order) => {
-                sim.machine.begin(&order.replica, None, now);
+                sim.machine.begin_attempt(&order.replica, None, now);
                 let (run, replica) = (sim.run, self.index[&order.replica]);
                 let pause = self.connect_time();
                 self.after(pause, SimEvent::Send(SimAttempt { relay, run, order, replica }));
@@ -373,7 +378,7 @@
             return;
         }
         if !sim.machine.may_send(&attempt.order, now, now) {
-            sim.machine.end(&attempt.order.replica, None, AttemptFate::Abandoned, now);
+            sim.machine.end_attempt(&attempt.order.replica, None, AttemptOutcome::Abandoned, now);
             return self.choose(attempt.relay, now + PATIENCE, &[attempt.order.replica]);
         }
         let pause = self.way_time();
@@ -402,21 +407,21 @@
             return;
         }
         let SimAttempt { mut order, replica, .. } = attempt;
-        sim.machine.end(&order.replica, None, AttemptFate::Answered, now);
+        sim.machine.end_attempt(&order.replica, None, AttemptOutcome::Answered, now);
         self.oracle.served();
         // The start that answered; the one that was meant may be over.
-        order.born = Some(born);
+        order.start_time = Some(born);
         match rate {
             Some(rate) => {
                 let limit = RateLimit::per_second(rate);
                 let notice = UpstreamNotice { limit, ..UpstreamNotice::default() };
-                sim.machine.note_said(&order, &notice, now);
+                sim.machine.record_notice(&order, &notice, now);
                 if self.rule == RateRule::Alone {
                     sim.machine.set_peers(Vec::new(), now);
                 }
                 self.oracle.told(relay, replica, born, now);
             },
-            None => drop(sim.machine.note_no_limit(&order, now)),
+            None => drop(sim.machine.record_no_limit(&order, now)),
         }
     }
 
@@ -428,7 +433,7 @@
             return self.after(left, SimEvent::Beacon(relay, run));
         }
         self.after(BEACON_INTERVAL, SimEvent::Beacon(relay, run));
-        let told = self.relays[relay].machine.tell_limits(self.now);
+        let told = self.relays[relay].machine.take_due_limit_reports(self.now);
         let longest = self.pattern.delay.as_millis() as u64;
         let pause = self.millis(1, longest.max(2));
         self.after(pause, SimEvent::Heard(relay, told));
@@ -436,7 +441,7 @@
     }
 
     /// All others hear a beacon, but for those that it does not reach.
-    fn hear(&mut self, teller: usize, told: Option<LimitBeacon>) {
+    fn hear(&mut self, teller: usize, told: Option<LimitUpdate>) {
         for relay in 0..self.relays.len() {
             let is_lost = self.chance(self.pattern.loss);
             if relay == teller || is_lost || self.is_cut(relay, teller) {
@@ -451,7 +456,7 @@
             // Each message gets lost for itself.
             let is_lost = self.chance(self.pattern.loss);
             if let Some(told) = told.as_ref().filter(|_| !is_lost) {
-                self.relays[relay].machine.take_limits(told, self.now);
+                self.relays[relay].machine.apply_limit_reports(told, self.now);
             }
         }
     }
--- a/quillcove_core/tests/relay_budget.rs
+++ b/quillcove_core/tests/relay_budget.rs
@@ -50,7 +50,7 @@
     fn drain(&mut self) -> f64 {
         let of_relay = |relay: &mut RelayMachine| {
             let mut taken = 0;
-            while relay.take_repeat("s") {
+            while relay.take_retry("s") {
                 taken += 1;
             }
             taken
--- a/quillcove_core/tests/relay_changes.rs
+++ b/quillcove_core/tests/relay_changes.rs
@@ -11,13 +11,13 @@
 
 use proptest::prelude::*;
 use quillcove_core::relay::beacon::AdapterKey;
-use quillcove_core::relay::change_word::{ChangeBeacon, ToldChange};
-use quillcove_core::relay::machine::{BeliefChange, RelayMachine, RelayRules};
+use quillcove_core::relay::change_word::{StoreChange, StoreChangeMessage};
+use quillcove_core::relay::machine::{RelayMachine, RelayRules, StateChange};
 use quillcove_core::relay::position::StorePosition;
 use quillcove_core::relay::published::{StoreEvent, StorePart};
 use quillcove_core::relay::replica::{ReplicaRecord, ReplicaState, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
-use quillcove_core::relay::sheet_change::SheetChange;
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
+use quillcove_core::relay::sheet_change::ConfigChange;
 use quillcove_core::route::RouteRecord;
 use relay_site::{address, engine_service, ms, stream_route};
 
@@ -44,18 +44,18 @@
     part: StorePart,
     events: Vec<(StoreEvent, u64)>,
     now: Duration,
-) -> Option<Vec<ChangeBeacon>> {
+) -> Option<Vec<StoreChangeMessage>> {
     let StorePosition { era, revision: after } = machine.read().of(part);
     let revision = events.last().map_or(after, |(_, revision)| *revision);
     let mut changes = Vec::new();
     let mut is_told = true;
     for (event, revision) in events {
         let effect = machine.take_event(event, false, now);
-        is_told &= !effect.matters || effect.told.is_some();
-        changes.extend(effect.told.map(|event| ToldChange { revision, event }));
+        is_told &= !effect.matters || effect.update.is_some();
+        changes.extend(effect.update.map(|event| StoreChange { revision, event }));
     }
     machine.knowledge_mut().note_read(part, StorePosition { era, revision }, now);
-    let word = ChangeBeacon { part, era, after, revision, age: Duration::ZERO, changes };
+    let word = StoreChangeMessage { part, era, after, revision, age: Duration::ZERO, changes };
     is_told.then(|| word.in_datagrams())
 }
 
@@ -68,11 +68,11 @@
     RouteRecord { prefix: format!("/{number}/"), timeout: ms(timeout), ..stream_route() }
 }
 
-fn sheet(version: u64, routes: Vec<RouteRecord>) -> RouteSheet {
-    RouteSheet::new(version, routes, vec![engine_service(100, 3.0)], CallerLimits::default())
+fn sheet(version: u64, routes: Vec<RouteRecord>) -> PublishedConfig {
+    PublishedConfig::new(version, routes, vec![engine_service(100, 3.0)], CallerLimits::default())
 }
 
-fn routes_of(sheet: &RouteSheet) -> Vec<RouteRecord> {
+fn routes_of(sheet: &PublishedConfig) -> Vec<RouteRecord> {
     let mut routes: Vec<RouteRecord> = sheet.routes().map(|route| route.as_ref().clone()).collect();
     routes.sort_by(|one, other| one.prefix.cmp(&other.prefix));
     routes
@@ -88,11 +88,11 @@
         (StoreEvent::ReplicaGone("i-2".to_string()), 11),
     ];
     let words = read(&mut reader, StorePart::Replicas, events, ms(10)).unwrap();
-    let changes = told.take_told(&words[0], ms(20)).unwrap();
-    assert!(changes.contains(&BeliefChange::Gone("i-2".to_string())), "{changes:?}");
+    let changes = told.apply_update(&words[0], ms(20)).unwrap();
+    assert!(changes.contains(&StateChange::Gone("i-2".to_string())), "{changes:?}");
     assert_eq!(replicas(&told), replicas(&reader));
     assert_eq!(told.read(), reader.read());
-    assert!(told.take_told(&words[0], ms(30)).is_none(), "it came twice");
+    assert!(told.apply_update(&words[0], ms(30)).is_none(), "it came twice");
 }
 
 #[test]
@@ -102,7 +102,7 @@
     read(&mut reader, StorePart::Replicas, listed(1), ms(10));
     let events = vec![(StoreEvent::Replica(record(2, ReplicaState::Ready)), 8)];
     let later = read(&mut reader, StorePart::Replicas, events, ms(20)).unwrap();
-    assert!(told.take_told(&later[0], ms(30)).is_none(), "the word before it was lost");
+    assert!(told.apply_update(&later[0], ms(30)).is_none(), "the word before it was lost");
     assert_eq!(told.read().replicas.revision, 5);
 }
 
@@ -112,7 +112,7 @@
     let mut fresh = RelayMachine::new(RelayRules::default(), 1);
     let events = vec![(StoreEvent::Replica(record(1, ReplicaState::Ready)), 6)];
     let words = read(&mut reader, StorePart::Replicas, events, ms(10)).unwrap();
-    assert!(fresh.take_told(&words[0], ms(20)).is_none());
+    assert!(fresh.apply_update(&words[0], ms(20)).is_none());
 }
 
 #[test]
@@ -121,11 +121,11 @@
     for machine in [&mut reader, &mut told] {
         machine.list(record(1, ReplicaState::Ready), ms(0));
     }
-    reader.note_store(false, ms(10));
-    reader.note_store(true, ms(1000));
+    reader.set_store_reachable(false, ms(10));
+    reader.set_store_reachable(true, ms(1000));
     let gone = vec![(StoreEvent::ReplicaGone("i-1".to_string()), 8)];
     let words = read(&mut reader, StorePart::Replicas, gone, ms(1100)).unwrap();
-    told.take_told(&words[0], ms(1200)).unwrap();
+    told.apply_update(&words[0], ms(1200)).unwrap();
     assert!(told.table().get("i-1").is_some(), "it has time to come back");
     told.tick(ms(4000));
     assert!(told.table().get("i-1").is_none());
@@ -139,7 +139,7 @@
     let record = ReplicaRecord { adapters: vec![held], ..record(1, ReplicaState::Ready) };
     let events = vec![(StoreEvent::Replica(record.clone()), 6)];
     let words = read(&mut reader, StorePart::Replicas, events, ms(10)).unwrap();
-    told.take_told(&words[0], ms(20)).unwrap();
+    told.apply_update(&words[0], ms(20)).unwrap();
     assert!(told.table().get("i-1").unwrap().record.adapters.is_empty());
     let again = vec![(StoreEvent::Replica(record), 8)];
     let words = read(&mut reader, StorePart::Replicas, again, ms(30)).unwrap();
@@ -155,7 +155,7 @@
         (StoreEvent::HallEmptied("hall-a".to_string()), 7),
     ];
     let words = read(&mut reader, StorePart::Operator, events, ms(10)).unwrap();
-    told.take_told(&words[0], ms(20)).unwrap();
+    told.apply_update(&words[0], ms(20)).unwrap();
     assert_eq!(told.newest(&key), Some(3));
     assert!(told.table().emptied().contains("hall-a"));
 }
@@ -169,12 +169,12 @@
     changed.push(route(300, 500));
     let (mut reader, mut told) = (relay(5), relay(5));
     for machine in [&mut reader, &mut told] {
-        machine.take_sheet(sheet(3, routes.clone()));
+        machine.apply_configuration(sheet(3, routes.clone()));
     }
     let events = vec![(StoreEvent::Sheet(Box::new(sheet(8, changed.clone()))), 6)];
     let words = read(&mut reader, StorePart::Operator, events, ms(10)).unwrap();
-    let changes = told.take_told(&words[0], ms(20)).unwrap();
-    assert_eq!(changes, [BeliefChange::Sheet(8)]);
+    let changes = told.apply_update(&words[0], ms(20)).unwrap();
+    assert_eq!(changes, [StateChange::Configuration(8)]);
     let (known, read) = (told.sheet().unwrap(), reader.sheet().unwrap());
     assert!(routes_of(known) == routes_of(&sheet(8, changed)));
     assert!(routes_of(known) == routes_of(read));
@@ -184,22 +184,22 @@
 #[test]
 fn what_the_operator_writes_again_matters_to_relays_that_read_only_the_copy() {
     let mut reader = relay(5);
-    reader.take_sheet(sheet(3, vec![route(1, 1000)]));
+    reader.apply_configuration(sheet(3, vec![route(1, 1000)]));
     let again = || StoreEvent::Sheet(Box::new(sheet(3, vec![route(1, 1000)])));
     let effect = reader.take_event(again(), false, ms(10));
     assert!(effect.matters && effect.changes.is_empty());
-    assert_eq!(effect.told, None, "others have to read it");
+    assert_eq!(effect.update, None, "others have to read it");
     assert!(!reader.take_event(again(), true, ms(20)).matters);
 }
 
 #[test]
 fn a_relay_with_another_sheet_reads_for_itself() {
     let (mut reader, mut told) = (relay(5), relay(5));
-    reader.take_sheet(sheet(3, vec![route(1, 1000)]));
-    told.take_sheet(sheet(2, vec![route(1, 1000)]));
+    reader.apply_configuration(sheet(3, vec![route(1, 1000)]));
+    told.apply_configuration(sheet(2, vec![route(1, 1000)]));
     let events = vec![(StoreEvent::Sheet(Box::new(sheet(8, vec![route(1, 2000)]))), 6)];
     let words = read(&mut reader, StorePart::Operator, events, ms(10)).unwrap();
-    assert!(told.take_told(&words[0], ms(20)).is_none());
+    assert!(told.apply_update(&words[0], ms(20)).is_none());
     assert_eq!(told.sheet().unwrap().version, 2);
     assert_eq!(told.read().operator.revision, 5, "what it has not taken is not known");
 }
@@ -217,7 +217,7 @@
 #[test]
 fn a_change_that_was_damaged_leads_to_no_sheet() {
     let (before, after) = (sheet(3, vec![route(1, 1000)]), sheet(8, vec![route(1, 2000)]));
-    let change = SheetChange::between(&before, &after).unwrap();
+    let change = ConfigChange::between(&before, &after).unwrap();
     let other = sheet(3, vec![route(2, 1000)]);
     assert!(change.apply(&other).is_none(), "another sheet under the same version");
 }
@@ -255,7 +255,7 @@
             let Some(word) = sent.get(place) else {
                 continue;
             };
-            told.take_told(word, ms(20));
+            told.apply_update(word, ms(20));
             let known = told.read().replicas.revision;
             let state = &states.iter().find(|(revision, _)| *revision == known).unwrap().1;
             prop_assert_eq!(&replicas(&told), state);
--- a/quillcove_core/tests/relay_connections.rs
+++ b/quillcove_core/tests/relay_connections.rs
@@ -10,7 +10,7 @@
 use quillcove_core::relay::beacon::OtherRelays;
 use quillcove_core::relay::machine::{RelayChoice, RelayMachine, RelayRules};
 use quillcove_core::relay::replica::example_record;
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use relay_site::{engine_service, ms, query, stream_route};
 
 /// Connections to one replica that one of so many relays opens.
@@ -19,7 +19,12 @@
     let rules = RelayRules { host: host(own), ..RelayRules::default() };
     let mut machine = RelayMachine::new(rules, own as u64);
     let services = vec![engine_service(limit, 3.0)];
-    machine.take_sheet(RouteSheet::new(1, vec![stream_route()], services, CallerLimits::default()));
+    machine.apply_configuration(PublishedConfig::new(
+        1,
+        vec![stream_route()],
+        services,
+        CallerLimits::default(),
+    ));
     let others: Vec<String> = (0..relays).filter(|it| *it != own).map(host).collect();
     let count = others.len();
     machine.set_others(OtherRelays { count, recent: count, lacking: 0 }, ms(0));
@@ -29,7 +34,7 @@
     while let RelayChoice::Send(order) =
         machine.choose(&query(stream_route(), None, ms(0)), &[], ms(0))
     {
-        machine.begin(&order.replica, None, ms(0));
+        machine.begin_attempt(&order.replica, None, ms(0));
         open += 1;
     }
     open
--- a/quillcove_core/tests/relay_copies.rs
+++ b/quillcove_core/tests/relay_copies.rs
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quillcove_core::relay::beacon::{AdapterKey, EngineBeacon, EngineReport, HeldAdapter};
+use quillcove_core::relay::beacon::{AdapterKey, EngineHeartbeat, EngineReport, HeldAdapter};
 use quillcove_core::relay::machine::{RelayChoice, RelayMachine, RelayQuery, RelayRules};
 use quillcove_core::relay::replica::{ReplicaRecord, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use relay_site::{address, engine_service, ms, stream_route};
 
 const HOLDER: u16 = 1;
@@ -29,13 +29,18 @@
     let rules = RelayRules { hall: "hall-a".to_string(), ..RelayRules::default() };
     let mut machine = RelayMachine::new(rules, 1);
     let services = vec![engine_service(100, 3.0)];
-    machine.take_sheet(RouteSheet::new(1, vec![stream_route()], services, CallerLimits::default()));
+    machine.apply_configuration(PublishedConfig::new(
+        1,
+        vec![stream_route()],
+        services,
+        CallerLimits::default(),
+    ));
     for port in HOLDER..=3 {
         let record = example_record(&format!("i-{port}"));
         machine.list(ReplicaRecord { address: address(port), ..record }, ms(0));
         let is_holder = port == HOLDER;
         let held = HeldAdapter { key: key(), version: 1 };
-        let beacon = EngineBeacon {
+        let beacon = EngineHeartbeat {
             host: format!("h-{port}"),
             engine: address(port),
             number: 1,
@@ -67,15 +72,15 @@
         adapter: Some(key()),
         prompt_tokens: Some(1_100),
         received: ms(10),
-        age: Duration::ZERO,
+        since_first_attempt: Duration::ZERO,
         deadline: ms(15_000),
-        looks: 0,
+        choice_count: 0,
         grant: None,
         identity: None,
     };
     let choice = machine.choose(&query, &[], ms(10));
     assert!(matches!(choice, RelayChoice::Send(order) if order.replica == "i-1"));
-    machine.take_asks().into_iter().map(|asked| asked.engine.port()).collect()
+    machine.take_load_requests().into_iter().map(|asked| asked.engine.port()).collect()
 }
 
 #[test]
--- a/quillcove_core/tests/relay_demand.rs
+++ b/quillcove_core/tests/relay_demand.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use quillcove_core::relay::beacon::{AdapterKey, EngineReport, HeldAdapter, OtherRelays};
-use quillcove_core::relay::demand::{AdapterDemand, EngineChoice, LackedAdapter};
+use quillcove_core::relay::demand::{AdapterDemand, AdapterNeed, EngineChoice};
 use quillcove_core::relay::policy::PlacementRule;
-use quillcove_core::relay::reading::{ReadingNorm, ReadingPrompt};
+use quillcove_core::relay::reading::{PrefillAverages, PrefillPrompt};
 use quillcove_core::relay::replica::{ReplicaRecord, ReplicaTable, ReplicaView, example_record};
 use quillcove_core::relay::sheet::EngineRecord;
 use relay_site::{address, engine_service, ms};
@@ -64,7 +64,7 @@
 
     /// Wants an adapter until long after, at so many engines.
     fn want(&mut self, number: usize, version: Option<u32>, holders: usize, now: Duration) {
-        let lacked = LackedAdapter {
+        let lacked = AdapterNeed {
             key: &key(number),
             service: &"s".to_string(),
             version,
@@ -72,14 +72,14 @@
             holders,
             home: None,
         };
-        self.demand.want(&lacked, true, now);
+        self.demand.record_need(&lacked, true, now);
     }
 
     /// Plans loads; gives the adapters asked for, with the engines' ports.
     fn pump(&mut self, now: Duration) -> Vec<(String, u16)> {
         let service = "s".to_string();
         let views: Vec<&ReplicaView> = (1..=ENGINES).map(|port| self.view(port)).collect();
-        let norm = ReadingNorm::default();
+        let norm = PrefillAverages::default();
         let choice = EngineChoice {
             service: &service,
             engine: &self.engine,
@@ -218,7 +218,7 @@
     for port in 1..=ENGINES {
         site.table.note_spare(address(port), Some(3), Vec::new());
         if port != 2 {
-            let prompt = ReadingPrompt { tokens: 50_000, rank: 0 };
+            let prompt = PrefillPrompt { tokens: 50_000, rank: 0 };
             site.table.begin_reading(&format!("i-{port}"), u64::from(port), prompt, ms(0));
         }
     }
