--- a/quillcove_core/tests/relay_follower.rs
+++ b/quillcove_core/tests/relay_follower.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use quillcove_core::relay::follower::{FollowRules, PartFollower, StoreCall};
+use quillcove_core::relay::follower::{PartWatcher, StoreCall, WatchRules};
 use quillcove_core::relay::position::StorePosition;
 
 /// Milliseconds since the start of a run.
@@ -83,13 +83,13 @@
     }
 }
 
-fn rules(variant: Variant) -> FollowRules {
+fn rules(variant: Variant) -> WatchRules {
     let millis = Duration::from_millis;
     let contact = match variant {
         Variant::UncappedWatch | Variant::AsInIncident => 60_000,
         Variant::Sound | Variant::WaitsAfterFailure => CONTACT_TIME,
     };
-    FollowRules {
+    WatchRules {
         watch_time: millis(3000),
         timeout: millis(800),
         contact_time: millis(contact),
@@ -101,7 +101,7 @@
 /// as the run goes.
 fn follow(day: &StoreDay, variant: Variant) -> Vec<(Millis, Millis)> {
     let rules = rules(variant);
-    let mut part = PartFollower::new(rules);
+    let mut part = PartWatcher::new(rules);
     let mut known = Vec::new();
     let waits_always = matches!(variant, Variant::WaitsAfterFailure | Variant::AsInIncident);
     let (mut now, mut opened) = (0, 0);
@@ -114,14 +114,14 @@
         let pause = if day.swallows(opened, now, answer) {
             now += part.limit(call).as_millis() as u64;
             opened = now;
-            part.take_failure()
+            part.record_failure()
         } else {
             now = answer;
             let revision = day.revision(now);
             let seen = part.position().map_or(0, |seen| seen.revision) as usize;
             let newer = day.published.iter().take(revision as usize).skip(seen);
             known.extend(newer.map(|at| (*at, now)));
-            part.take_answer(StorePosition::in_first_era(revision))
+            part.record_response(StorePosition::in_first_era(revision))
         };
         now += pause.as_millis() as u64;
     }
@@ -191,9 +191,9 @@
 
 #[test]
 fn a_watch_is_cut_to_the_contact_time_and_never_to_nothing() {
-    let rules = |contact| FollowRules {
+    let rules = |contact| WatchRules {
         contact_time: Duration::from_millis(contact),
-        ..FollowRules::default()
+        ..WatchRules::default()
     };
     assert_eq!(rules(4000).watch_time(), Duration::from_millis(2300));
     assert_eq!(rules(60_000).watch_time(), Duration::from_secs(3));
--- a/quillcove_core/tests/relay_herd.rs
+++ b/quillcove_core/tests/relay_herd.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use quillcove_core::relay::reading::{ReadingNorm, ReadingPrompt};
+use quillcove_core::relay::reading::{PrefillAverages, PrefillPrompt};
 use quillcove_core::relay::replica::{ReplicaRecord, ReplicaTable, ReplicaView, example_record};
 use quillcove_core::relay::routing::{self, RoutingCost};
 
@@ -37,8 +37,8 @@
 fn chosen(relays: usize) -> BTreeMap<String, u64> {
     let table = table();
     let views: Vec<&ReplicaView> = table.all().collect();
-    let norm = ReadingNorm::default();
-    let prompt = Some(ReadingPrompt { tokens: 1_100, rank: 1 });
+    let norm = PrefillAverages::default();
+    let prompt = Some(PrefillPrompt { tokens: 1_100, rank: 1 });
     let cost = RoutingCost { prompt, norm: &norm, hall: "hall-a" };
     let mut counts = BTreeMap::new();
     for draw in 0..REQUESTS {
--- a/quillcove_core/tests/relay_loader.rs
+++ b/quillcove_core/tests/relay_loader.rs
@@ -9,7 +9,7 @@
 
 use proptest::prelude::*;
 use quillcove_core::relay::beacon::{
-    AdapterKey, AdapterUse, EngineReport, HeldAdapter, LoadAsk, UseBeacon,
+    AdapterKey, AdapterUse, EngineReport, HeldAdapter, LoadRequest, UseHeartbeat,
 };
 use quillcove_core::relay::loader::LoaderMachine;
 use quillcove_core::relay::order::{LoadOrder, OrderKind, OrderOutcome};
@@ -35,8 +35,8 @@
     AdapterKey { model: "m".to_string(), adapter: format!("a{number}") }
 }
 
-fn ask(number: u8, version: Option<u32>) -> LoadAsk {
-    LoadAsk {
+fn ask(number: u8, version: Option<u32>) -> LoadRequest {
+    LoadRequest {
         replica: "i-1".to_string(),
         model: "m".to_string(),
         adapter: Some(key(number).adapter),
@@ -157,10 +157,10 @@
         let relay = "127.0.0.1:1".parse().unwrap();
         for step in steps {
             match step {
-                Step::Ask(adapter, version) => machine.take_ask(ask(adapter, version), now),
+                Step::Ask(adapter, version) => machine.queue_load_request(ask(adapter, version), now),
                 Step::Use(adapter) => {
                     let use_of = AdapterUse { key: key(adapter), sent: 1, in_flight: 1 };
-                    machine.take_uses(UseBeacon { relay, uses: vec![use_of] }, now);
+                    machine.record_uses(UseHeartbeat { relay, uses: vec![use_of] }, now);
                     used = Some((adapter, now));
                 },
                 Step::Wait(time) => now += ms(time),
@@ -181,10 +181,10 @@
                 untold_until = None;
                 let in_flight = u32::from(now - told < USE_TIME);
                 let use_of = AdapterUse { key: key(adapter), sent: 0, in_flight };
-                machine.take_uses(UseBeacon { relay, uses: vec![use_of] }, now);
+                machine.record_uses(UseHeartbeat { relay, uses: vec![use_of] }, now);
             }
             if !hides_reports {
-                machine.take_report(engine.report(now), now);
+                machine.record_report(engine.report(now), now);
             }
             while let Some(order) = machine.next_order(now) {
                 if let (OrderKind::Unload, Some((adapter, told))) = (order.kind, used) {
@@ -199,11 +199,11 @@
                 prop_assert_ne!(outcome, OrderOutcome::FenceTooLow, "fences grow");
                 let outcome = if loses { OrderOutcome::Unanswered } else { outcome };
                 loses = false;
-                machine.end_order(outcome, now);
+                machine.complete_order(outcome, now);
                 if hides_reports {
                     break;
                 }
-                machine.take_report(engine.report(now), now);
+                machine.record_report(engine.report(now), now);
             }
         }
     }
@@ -221,17 +221,17 @@
 #[test]
 fn the_adapter_that_is_asked_for_least_makes_room() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
-    machine.take_report(settled(&[0, 1, 2, 3, 4]), ms(0));
+    machine.record_report(settled(&[0, 1, 2, 3, 4]), ms(0));
     let later = |millis| USES_TOLD + ms(millis);
     let relay = "127.0.0.1:1".parse().unwrap();
     let use_of = |number, sent| AdapterUse { key: key(number), sent, in_flight: 0 };
     let uses = vec![use_of(0, 5), use_of(1, 2), use_of(2, 9), use_of(3, 1), use_of(4, 3)];
-    machine.take_uses(UseBeacon { relay, uses }, later(0));
-    machine.take_ask(ask(7, None), later(10));
+    machine.record_uses(UseHeartbeat { relay, uses }, later(0));
+    machine.queue_load_request(ask(7, None), later(10));
     let order = machine.next_order(later(10)).unwrap();
     assert_eq!((order.kind, order.adapter.as_deref()), (OrderKind::Unload, Some("a3")));
-    machine.end_order(OrderOutcome::Holds, later(11));
-    machine.take_report(settled(&[0, 1, 2, 4]), later(12));
+    machine.complete_order(OrderOutcome::Holds, later(11));
+    machine.record_report(settled(&[0, 1, 2, 4]), later(12));
     let order = machine.next_order(later(12)).unwrap();
     assert_eq!((order.kind, order.adapter.as_deref()), (OrderKind::Load, Some("a7")));
 }
@@ -239,11 +239,11 @@
 #[test]
 fn a_new_loader_waits_for_its_engines_report() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
-    machine.take_ask(ask(7, None), ms(0));
-    machine.take_ask(LoadAsk { adapter: None, ..ask(0, None) }, ms(0));
+    machine.queue_load_request(ask(7, None), ms(0));
+    machine.queue_load_request(LoadRequest { adapter: None, ..ask(0, None) }, ms(0));
     assert!(machine.next_order(ms(0)).is_none(), "the engine may be full");
     assert_eq!(machine.spare_places(ms(0)), None);
-    machine.take_report(settled(&[0, 1, 2, 3, 4]), ms(10));
+    machine.record_report(settled(&[0, 1, 2, 3, 4]), ms(10));
     assert!(machine.next_order(ms(10)).is_none(), "any of them may be in use");
     let order = machine.next_order(ms(10) + USES_TOLD).unwrap();
     assert_eq!(order.kind, OrderKind::Unload, "the ask has waited, and the engine is full");
@@ -252,14 +252,14 @@
 #[test]
 fn a_new_loader_takes_nothing_out_before_relays_have_told_their_use() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
-    machine.take_report(settled(&[0, 1, 2, 3, 4]), ms(10));
-    machine.take_ask(ask(7, None), ms(10));
+    machine.record_report(settled(&[0, 1, 2, 3, 4]), ms(10));
+    machine.queue_load_request(ask(7, None), ms(10));
     assert!(machine.next_order(ms(10)).is_none(), "any of them may be in use");
     assert_eq!(machine.spare_places(ms(10)), Some(0));
     // Relays tell twice a second.
     let relay = "127.0.0.1:1".parse().unwrap();
     let in_use = |number| AdapterUse { key: key(number), sent: 0, in_flight: 1 };
-    machine.take_uses(UseBeacon { relay, uses: (0..4).map(in_use).collect() }, ms(500));
+    machine.record_uses(UseHeartbeat { relay, uses: (0..4).map(in_use).collect() }, ms(500));
     let order = machine.next_order(ms(620)).unwrap();
     assert_eq!((order.kind, order.adapter.as_deref()), (OrderKind::Unload, Some("a4")));
 }
@@ -267,12 +267,12 @@
 #[test]
 fn an_order_names_the_orders_that_it_knows_of() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
-    machine.take_report(EngineReport { orders_taken: Some(6), ..settled(&[]) }, ms(0));
-    machine.take_ask(ask(1, None), ms(0));
+    machine.record_report(EngineReport { orders_taken: Some(6), ..settled(&[]) }, ms(0));
+    machine.queue_load_request(ask(1, None), ms(0));
     assert_eq!(machine.next_order(ms(0)).unwrap().orders_seen, Some(6));
     // The engine has taken others since: the ask waits for a report that shows them.
-    machine.end_order(OrderOutcome::Busy, ms(1));
-    machine.take_report(EngineReport { orders_taken: Some(7), ..settled(&[2]) }, ms(2));
+    machine.complete_order(OrderOutcome::Busy, ms(1));
+    machine.record_report(EngineReport { orders_taken: Some(7), ..settled(&[2]) }, ms(2));
     let order = machine.next_order(ms(2)).unwrap();
     assert_eq!((order.adapter.as_deref(), order.orders_seen), (Some("a1"), Some(7)));
 }
@@ -280,10 +280,10 @@
 #[test]
 fn a_refused_fence_is_raised_until_the_engine_takes_it() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
-    machine.take_report(settled(&[]), ms(0));
-    machine.take_ask(ask(1, None), ms(0));
+    machine.record_report(settled(&[]), ms(0));
+    machine.queue_load_request(ask(1, None), ms(0));
     let first = machine.next_order(ms(0)).unwrap();
-    machine.end_order(OrderOutcome::FenceTooLow, ms(1));
+    machine.complete_order(OrderOutcome::FenceTooLow, ms(1));
     let second = machine.next_order(ms(1)).unwrap();
     assert_eq!(second.adapter, first.adapter);
     assert!(second.fence > first.fence + 5_000, "the clock may have stepped back by seconds");
@@ -292,14 +292,14 @@
 #[test]
 fn base_models_are_ordered_only_into_an_empty_engine_and_are_told() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
-    let model = LoadAsk { adapter: None, ..ask(0, None) };
-    machine.take_report(settled(&[]), ms(0));
-    machine.take_ask(model.clone(), ms(0));
+    let model = LoadRequest { adapter: None, ..ask(0, None) };
+    machine.record_report(settled(&[]), ms(0));
+    machine.queue_load_request(model.clone(), ms(0));
     assert!(machine.next_order(ms(0)).is_none(), "it is there already");
-    machine.take_report(EngineReport::default(), ms(10));
-    machine.take_ask(model, ms(10));
+    machine.record_report(EngineReport::default(), ms(10));
+    machine.queue_load_request(model, ms(10));
     assert!(machine.next_order(ms(10)).is_some());
-    machine.end_order(OrderOutcome::Begun, ms(11));
+    machine.complete_order(OrderOutcome::Begun, ms(11));
     assert_eq!(machine.model_loads(ms(1010)), [ms(1000)]);
     assert!(machine.model_loads(ms(9000)).is_empty());
 }
@@ -308,10 +308,10 @@
 fn a_load_from_the_hosts_own_copy_does_not_count_at_the_weight_store() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
     let local_models = vec!["m".to_string()];
-    machine.take_report(EngineReport { local_models, ..EngineReport::default() }, ms(0));
-    machine.take_ask(LoadAsk { adapter: None, ..ask(0, None) }, ms(0));
+    machine.record_report(EngineReport { local_models, ..EngineReport::default() }, ms(0));
+    machine.queue_load_request(LoadRequest { adapter: None, ..ask(0, None) }, ms(0));
     assert!(machine.next_order(ms(0)).is_some());
-    machine.end_order(OrderOutcome::Begun, ms(1));
+    machine.complete_order(OrderOutcome::Begun, ms(1));
     assert!(machine.model_loads(ms(2)).is_empty());
 }
 
@@ -319,50 +319,50 @@
 fn warm_and_cold_loads_are_told_apart() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
     let load = |at: u64, machine: &mut LoaderMachine| {
-        machine.take_report(settled(&[]), ms(at));
-        machine.take_ask(ask(1, None), ms(at));
+        machine.record_report(settled(&[]), ms(at));
+        machine.queue_load_request(ask(1, None), ms(at));
         machine.next_order(ms(at)).unwrap();
-        machine.end_order(OrderOutcome::Begun, ms(at));
-        machine.take_report(settled(&[1]), ms(at + 250)).arrived[0].1.clone()
+        machine.complete_order(OrderOutcome::Begun, ms(at));
+        machine.record_report(settled(&[1]), ms(at + 250)).arrived[0].1.clone()
     };
     let first = load(0, &mut machine);
     assert_eq!((first.took, first.was_warm), (ms(250), false));
     assert!(load(5_000, &mut machine).was_warm);
-    machine.take_report(EngineReport::default(), ms(9_000));
+    machine.record_report(EngineReport::default(), ms(9_000));
     assert!(!load(10_000, &mut machine).was_warm, "the engine restarted and lost its copies");
 }
 
 #[test]
 fn a_newer_version_has_arrived_only_when_that_version_is_held() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
-    machine.take_report(settled(&[1]), ms(0));
-    machine.take_ask(ask(1, Some(2)), ms(0));
+    machine.record_report(settled(&[1]), ms(0));
+    machine.queue_load_request(ask(1, Some(2)), ms(0));
     let order = machine.next_order(ms(0)).unwrap();
     assert_eq!((order.kind, order.version), (OrderKind::Load, Some(2)));
-    machine.end_order(OrderOutcome::Begun, ms(0));
-    assert_eq!(machine.take_report(settled(&[1]), ms(50)).arrived, []);
+    machine.complete_order(OrderOutcome::Begun, ms(0));
+    assert_eq!(machine.record_report(settled(&[1]), ms(50)).arrived, []);
     let mut newer = settled(&[1]);
     newer.adapters[0].version = 2;
-    assert_eq!(machine.take_report(newer, ms(260)).arrived.len(), 1);
+    assert_eq!(machine.record_report(newer, ms(260)).arrived.len(), 1);
 }
 
 #[test]
 fn spare_places_are_those_that_are_free_or_that_nobody_uses() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
     assert_eq!(machine.spare_places(ms(0)), None, "no ask told the places");
-    machine.take_report(settled(&[1, 2, 3]), ms(0));
-    machine.take_ask(ask(1, None), ms(0));
+    machine.record_report(settled(&[1, 2, 3]), ms(0));
+    machine.queue_load_request(ask(1, None), ms(0));
     assert!(machine.next_order(ms(0)).is_none());
     assert_eq!(machine.spare_places(ms(0)), Some(PLACES - 3), "those held may be in use");
     let ms = |millis| USES_TOLD + ms(millis);
     assert_eq!(machine.spare_places(ms(0)), Some(PLACES));
     let used = |in_flight| AdapterUse { key: key(1), sent: 1, in_flight };
     let relay = "127.0.0.1:1".parse().unwrap();
-    machine.take_uses(UseBeacon { relay, uses: vec![used(1)] }, ms(1));
+    machine.record_uses(UseHeartbeat { relay, uses: vec![used(1)] }, ms(1));
     assert_eq!(machine.spare_places(ms(1)), Some(PLACES - 1));
-    machine.take_uses(UseBeacon { relay, uses: vec![used(0)] }, ms(2));
+    machine.record_uses(UseHeartbeat { relay, uses: vec![used(0)] }, ms(2));
     assert_eq!(machine.spare_places(ms(2)), Some(PLACES));
-    machine.take_ask(ask(4, None), ms(3));
+    machine.queue_load_request(ask(4, None), ms(3));
     assert_eq!(machine.spare_places(ms(3)), Some(PLACES - 1));
     assert!(machine.next_order(ms(3)).is_some());
     assert_eq!(machine.spare_places(ms(3)), Some(PLACES - 1));
@@ -370,7 +370,7 @@
 
 #[test]
 fn an_engine_that_starts_again_under_its_id_has_places_for_what_was_on_its_way() {
-    let ask = |adapter: &str| LoadAsk {
+    let ask = |adapter: &str| LoadRequest {
         replica: "i-1".into(),
         model: "m".into(),
         adapter: Some(adapter.into()),
@@ -384,17 +384,17 @@
         ..EngineReport::default()
     };
     let mut machine = LoaderMachine::new("e1".into(), 1);
-    machine.take_report(report(5, 7), Duration::ZERO);
+    machine.record_report(report(5, 7), Duration::ZERO);
     for (number, adapter) in ["a1", "a2", "a3", "a4"].into_iter().enumerate() {
         let now = Duration::from_millis(number as u64);
-        machine.take_ask(ask(adapter), now);
+        machine.queue_load_request(ask(adapter), now);
         assert!(machine.next_order(now).is_some());
-        machine.end_order(OrderOutcome::Begun, now);
+        machine.complete_order(OrderOutcome::Begun, now);
     }
     let now = Duration::from_millis(100);
-    machine.take_ask(ask("a5"), now);
+    machine.queue_load_request(ask("a5"), now);
     assert!(machine.next_order(now).is_none(), "four are on their way");
-    machine.take_report(report(9, 0), now);
+    machine.record_report(report(9, 0), now);
     let order =
         machine.next_order(now).expect("nothing is on its way to an engine that has started");
     assert_eq!(order.orders_seen, Some(0));
@@ -404,26 +404,26 @@
 fn an_engine_that_leaves_gets_no_orders_until_another_start() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
     let report = |born, is_leaving| EngineReport { born: Some(born), is_leaving, ..settled(&[]) };
-    let change = machine.take_report(report(1, true), ms(0));
+    let change = machine.record_report(report(1, true), ms(0));
     assert!(change.is_changed, "relays are to hear of it at once");
-    machine.take_ask(ask(1, None), ms(1));
+    machine.queue_load_request(ask(1, None), ms(1));
     assert_eq!(machine.next_order(ms(1)), None);
     // A later report of the same start takes nothing back.
-    machine.take_report(report(1, false), ms(500));
+    machine.record_report(report(1, false), ms(500));
     assert!(machine.report().is_leaving);
     assert_eq!(machine.next_order(ms(500)), None);
-    machine.take_report(report(2, false), ms(1000));
-    machine.take_ask(ask(1, None), ms(1000));
+    machine.record_report(report(2, false), ms(1000));
+    machine.queue_load_request(ask(1, None), ms(1000));
     assert!(machine.next_order(ms(1000)).is_some());
 }
 
 #[test]
 fn an_engine_that_asked_for_rest_gets_its_orders_after_it() {
     let mut machine = LoaderMachine::new("e1".to_string(), 1);
-    machine.take_report(settled(&[]), ms(0));
+    machine.record_report(settled(&[]), ms(0));
     let notice = UpstreamNotice { is_leaving: false, rest: Some(ms(900)), limit: None };
-    machine.note_said(&notice, ms(1));
-    machine.take_ask(ask(1, None), ms(2));
+    machine.record_notice(&notice, ms(1));
+    machine.queue_load_request(ask(1, None), ms(2));
     assert_eq!(machine.next_order(ms(900)), None);
     assert!(machine.next_order(ms(901)).is_some());
 }
--- a/quillcove_core/tests/relay_loads.rs
+++ b/quillcove_core/tests/relay_loads.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use quillcove_core::relay::beacon::{EngineBeacon, EngineReport};
-use quillcove_core::relay::keeper::ModelKeeper;
+use quillcove_core::relay::beacon::{EngineHeartbeat, EngineReport};
+use quillcove_core::relay::keeper::LoadRateCoordinator;
 use quillcove_core::relay::limiter::LoadLimiter;
 use quillcove_core::relay::machine::{RelayMachine, RelayRules};
 use quillcove_core::relay::replica::{ReplicaRecord, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use relay_site::{address, engine_service, ms};
 
 const ENGINES: u16 = 40;
@@ -24,7 +24,7 @@
 
 fn machine() -> RelayMachine {
     let mut machine = RelayMachine::new(RelayRules::default(), 1);
-    machine.take_sheet(RouteSheet::new(
+    machine.apply_configuration(PublishedConfig::new(
         1,
         vec![],
         vec![engine_service(100, RATE)],
@@ -38,11 +38,11 @@
 }
 
 /// What the loader of an engine tells: it is empty until its model's load is over.
-fn beacon(port: u16, number: u64, began: &[Duration], now: Duration) -> EngineBeacon {
+fn beacon(port: u16, number: u64, began: &[Duration], now: Duration) -> EngineHeartbeat {
     let is_loaded = began.last().is_some_and(|at| now >= *at + ms(600));
     let is_busy = !began.is_empty() && !is_loaded;
     let models = if is_loaded { vec!["m".to_string()] } else { Vec::new() };
-    EngineBeacon {
+    EngineHeartbeat {
         host: format!("h{port}"),
         engine: address(port),
         number,
@@ -66,21 +66,21 @@
         takeovers in prop::collection::vec(1u64..200, 0..6),
     ) {
         let mut machine = machine();
-        let mut keeper = ModelKeeper::default();
+        let mut keeper = LoadRateCoordinator::default();
         let mut began: Vec<Vec<Duration>> = vec![Vec::new(); usize::from(ENGINES) + 1];
         let mut all: Vec<Duration> = Vec::new();
         for tick in 0u64..300 {
             let now = ms(tick * 50);
             if takeovers.contains(&tick) {
                 // The new keeper has heard the same beacons as the old one.
-                keeper = ModelKeeper::default();
+                keeper = LoadRateCoordinator::default();
             }
             for port in 1..=ENGINES {
                 let beacon = beacon(port, tick + 1, &began[usize::from(port)], now);
                 machine.take_report(&beacon, now);
                 keeper.take_report(&beacon, now);
             }
-            for addressed in keeper.plan(&machine, |_| true, now) {
+            for addressed in keeper.plan_requests(&machine, |_| true, now) {
                 began[usize::from(addressed.engine.port())].push(now);
                 all.push(now);
             }
@@ -104,7 +104,7 @@
 /// keeper that does not count what others asked for.
 fn most_of_two_keepers(lags: [u64; 2], counts: bool) -> usize {
     let mut machines = [machine(), machine()];
-    let mut keepers = [ModelKeeper::default(), ModelKeeper::default()];
+    let mut keepers = [LoadRateCoordinator::default(), LoadRateCoordinator::default()];
     let mut began: Vec<Vec<Duration>> = vec![Vec::new(); usize::from(ENGINES) + 1];
     let mut all: Vec<Duration> = Vec::new();
     for tick in 0u64..300 {
@@ -124,7 +124,7 @@
                 machines[side].take_report(&beacon, now);
                 keepers[side].take_report(&beacon, now);
             }
-            for addressed in keepers[side].plan(&machines[side], |_| true, now) {
+            for addressed in keepers[side].plan_requests(&machines[side], |_| true, now) {
                 let began = &mut began[usize::from(addressed.engine.port())];
                 // A loader orders a model only into an empty engine.
                 if began.is_empty() {
@@ -156,7 +156,7 @@
 }
 
 /// Beacons of engines that restarted empty; `local` says whether their hosts have the model's copy.
-fn empty_engines(machine: &mut RelayMachine, keeper: &mut ModelKeeper, local: bool) {
+fn empty_engines(machine: &mut RelayMachine, keeper: &mut LoadRateCoordinator, local: bool) {
     for port in 1..=ENGINES {
         let mut beacon = beacon(port, 1, &[], ms(0));
         beacon.report.local_models = if local { vec!["m".to_string()] } else { Vec::new() };
@@ -168,20 +168,20 @@
 #[test]
 fn models_that_hosts_have_copies_of_are_asked_for_at_once_by_any_relay() {
     let mut machine = machine();
-    let mut keeper = ModelKeeper::default();
+    let mut keeper = LoadRateCoordinator::default();
     empty_engines(&mut machine, &mut keeper, true);
-    assert_eq!(keeper.plan(&machine, |_| false, ms(0)).len(), usize::from(ENGINES));
-    assert!(keeper.plan(&machine, |_| false, ms(50)).is_empty(), "asked for already");
+    assert_eq!(keeper.plan_requests(&machine, |_| false, ms(0)).len(), usize::from(ENGINES));
+    assert!(keeper.plan_requests(&machine, |_| false, ms(50)).is_empty(), "asked for already");
     assert_eq!(keeper.window_count(ms(50)), 0, "they take nothing from the weight store");
 }
 
 #[test]
 fn models_from_the_weight_store_are_asked_for_by_the_keeper_alone() {
     let mut machine = machine();
-    let mut keeper = ModelKeeper::default();
+    let mut keeper = LoadRateCoordinator::default();
     empty_engines(&mut machine, &mut keeper, false);
-    assert!(keeper.plan(&machine, |_| false, ms(0)).is_empty());
-    assert_eq!(keeper.plan(&machine, |_| true, ms(0)).len(), 1);
+    assert!(keeper.plan_requests(&machine, |_| false, ms(0)).is_empty());
+    assert_eq!(keeper.plan_requests(&machine, |_| true, ms(0)).len(), 1);
 }
 
 /// Load time of a store that serves this many at full speed.
--- a/quillcove_core/tests/relay_machine.rs
+++ b/quillcove_core/tests/relay_machine.rs
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 use quillcove_core::relay::beacon::{
-    AdapterKey, EngineBeacon, EngineReport, HeldAdapter, OtherRelays,
+    AdapterKey, EngineHeartbeat, EngineReport, HeldAdapter, OtherRelays,
 };
 use quillcove_core::relay::machine::{
-    BeliefChange, RelayChoice, RelayMachine, RelayQuery, RelayRules,
+    RelayChoice, RelayMachine, RelayQuery, RelayRules, StateChange,
 };
 use quillcove_core::relay::policy::{PriorityRule, RelayPolicy};
 use quillcove_core::relay::position::{ReadPositions, StorePosition};
 use quillcove_core::relay::published::{PublishedState, StorePart};
-use quillcove_core::relay::replica::{AttemptFate, ReplicaRecord, ReplicaState, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::replica::{AttemptOutcome, ReplicaRecord, ReplicaState, example_record};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use quillcove_core::route::{RouteKind, RouteRecord, RouteShare};
 use quillcove_core::verdict::{RefusalReason, RunVerdict};
 use relay_site::{address, engine_service, ms};
@@ -38,15 +38,15 @@
     }
 }
 
-fn sheet(version: u64) -> RouteSheet {
+fn sheet(version: u64) -> PublishedConfig {
     let routes = vec![route(RouteKind::Stream)];
-    RouteSheet::new(version, routes, vec![engine_service(100, 3.0)], CallerLimits::default())
+    PublishedConfig::new(version, routes, vec![engine_service(100, 3.0)], CallerLimits::default())
 }
 
 fn machine() -> RelayMachine {
     let rules = RelayRules { hall: "hall-a".to_string(), ..RelayRules::default() };
     let mut machine = RelayMachine::new(rules, 1);
-    machine.take_sheet(sheet(1));
+    machine.apply_configuration(sheet(1));
     machine
 }
 
@@ -62,8 +62,8 @@
     HeldAdapter { key: key(adapter), version }
 }
 
-fn beacon(port: u16, number: u64, adapters: &[HeldAdapter]) -> EngineBeacon {
-    EngineBeacon {
+fn beacon(port: u16, number: u64, adapters: &[HeldAdapter]) -> EngineHeartbeat {
+    EngineHeartbeat {
         host: format!("host-{port}"),
         engine: address(port),
         number,
@@ -102,9 +102,9 @@
 #[test]
 fn an_older_sheet_never_comes_back() {
     let mut machine = machine();
-    assert!(machine.take_sheet(sheet(5)));
-    assert!(!machine.take_sheet(sheet(4)));
-    assert!(!machine.take_sheet(sheet(5)));
+    assert!(machine.apply_configuration(sheet(5)));
+    assert!(!machine.apply_configuration(sheet(4)));
+    assert!(!machine.apply_configuration(sheet(5)));
     let published = PublishedState { read: read(9), sheet: Some(sheet(3)), ..Default::default() };
     machine.take_published(published, ms(0));
     assert_eq!(machine.sheet().unwrap().version, 5);
@@ -115,7 +115,7 @@
     let mut machine = RelayMachine::new(RelayRules::default(), 1);
     machine.list(record("i-1", 1), ms(0));
     assert!(!machine.is_ready());
-    machine.take_sheet(sheet(1));
+    machine.apply_configuration(sheet(1));
     assert!(machine.is_ready());
     machine.stop();
     assert!(!machine.is_ready());
@@ -127,7 +127,7 @@
     machine.list(record("i-1", 1), ms(0));
     assert_eq!(sent_to(&machine.choose(&query(None, ms(0)), &[], ms(0))), Some("i-1"));
     let leaving = ReplicaRecord { state: ReplicaState::Draining, ..record("i-1", 1) };
-    assert_eq!(machine.list(leaving, ms(1)), [BeliefChange::Listed("i-1".to_string())]);
+    assert_eq!(machine.list(leaving, ms(1)), [StateChange::Listed("i-1".to_string())]);
     let choice = machine.choose(&query(None, ms(2)), &[], ms(2));
     let RelayChoice::Refuse(refusal) = choice else {
         panic!("{choice:?}");
@@ -142,8 +142,8 @@
     let new = ReplicaRecord { created: StorePosition::in_first_era(9), ..record("i-new", 1) };
     machine.list(old.clone(), ms(0));
     let changes = machine.list(new.clone(), ms(10));
-    let replaced = BeliefChange::Replaced("i-old".to_string());
-    assert_eq!(changes, [replaced, BeliefChange::Listed("i-new".to_string())]);
+    let replaced = StateChange::Replaced("i-old".to_string());
+    assert_eq!(changes, [replaced, StateChange::Listed("i-new".to_string())]);
     assert_eq!(sent_to(&machine.choose(&query(None, ms(10)), &[], ms(10))), Some("i-new"));
     // The old entry lapses only later, and until then every reading of the whole list names it.
     assert_eq!(machine.list_all(vec![new, old], ms(20)), []);
@@ -155,15 +155,18 @@
     let mut machine = machine();
     machine.list(record("i-1", 1), ms(0));
     machine.list(record("i-2", 2), ms(0));
-    machine.note_store(false, ms(1_000));
-    machine.note_store(true, ms(5_000));
+    machine.set_store_reachable(false, ms(1_000));
+    machine.set_store_reachable(true, ms(5_000));
     let changes = machine.list_all(Vec::new(), ms(5_010));
-    assert!(changes.iter().all(|change| matches!(change, BeliefChange::Doubted(_))), "{changes:?}");
+    assert!(
+        changes.iter().all(|change| matches!(change, StateChange::Unconfirmed(_))),
+        "{changes:?}"
+    );
     assert!(machine.tick(ms(6_900)).is_empty());
     machine.list(record("i-1", 1), ms(7_000));
-    assert_eq!(machine.tick(ms(7_300)), [BeliefChange::Gone("i-2".to_string())]);
+    assert_eq!(machine.tick(ms(7_300)), [StateChange::Gone("i-2".to_string())]);
     assert!(machine.table().get("i-1").is_some());
-    assert_eq!(machine.unlist("i-1", ms(9_000)), Some(BeliefChange::Gone("i-1".to_string())));
+    assert_eq!(machine.unlist("i-1", ms(9_000)), Some(StateChange::Gone("i-1".to_string())));
 }
 
 #[test]
@@ -172,7 +175,7 @@
     machine.list(record("i-1", 1), ms(0));
     machine.note_read(StorePart::Operator, StorePosition::in_first_era(4));
     machine.note_read(StorePart::Replicas, StorePosition::in_first_era(4));
-    machine.note_store(false, ms(0));
+    machine.set_store_reachable(false, ms(0));
     let published = PublishedState {
         proof: None,
         read: read(6),
@@ -186,8 +189,8 @@
         leaving: Vec::new(),
     };
     let changes = machine.take_published(published, ms(10));
-    assert!(changes.contains(&BeliefChange::Sheet(2)), "{changes:?}");
-    assert!(changes.contains(&BeliefChange::Gone("i-1".to_string())), "{changes:?}");
+    assert!(changes.contains(&StateChange::Configuration(2)), "{changes:?}");
+    assert!(changes.contains(&StateChange::Gone("i-1".to_string())), "{changes:?}");
     assert_eq!(machine.newest(&key("a1")), Some(3));
     let older = PublishedState { read: read(5), replicas: Vec::new(), ..Default::default() };
     assert!(machine.take_published(older, ms(20)).is_empty());
@@ -215,7 +218,7 @@
         leaving: Vec::new(),
     };
     let changes = machine.take_published(published, ms(10));
-    assert_eq!(changes, [BeliefChange::Sheet(2)]);
+    assert_eq!(changes, [StateChange::Configuration(2)]);
     assert_eq!(machine.newest(&key("a1")), Some(3));
     assert_eq!(
         machine.read(),
@@ -247,11 +250,11 @@
     machine.take_report(&beacon(1, 1, &[]), ms(0));
     let choice = machine.choose(&query(Some("a1"), ms(0)), &[], ms(0));
     assert!(matches!(choice, RelayChoice::Wait(_)), "{choice:?}");
-    let asks = machine.take_asks();
+    let asks = machine.take_load_requests();
     assert_eq!(asks.len(), 1);
     assert_eq!((asks[0].ask.key(), asks[0].ask.places), (Some(key("a1")), 4));
     machine.choose(&query(Some("a1"), ms(5)), &[], ms(5));
-    assert!(machine.take_asks().is_empty());
+    assert!(machine.take_load_requests().is_empty());
     machine.take_report(&beacon(1, 2, &[held("a1", 1)]), ms(270));
     let choice = machine.choose(&query(Some("a1"), ms(0)), &[], ms(270));
     assert_eq!(sent_to(&choice), Some("i-1"));
@@ -286,7 +289,7 @@
     machine.list(record("i-1", 1), ms(0));
     machine.choose(&query(Some("a1"), ms(0)), &[], ms(0));
     let mut late = query(Some("a1"), ms(0));
-    late.looks = 1;
+    late.choice_count = 1;
     let choice = machine.choose(&late, &[], ms(1700));
     let RelayChoice::Refuse(refusal) = choice else {
         panic!("{choice:?}");
@@ -305,7 +308,7 @@
     machine.take_version(key("a1"), 2, true, ms(100));
     let choice = machine.choose(&query(Some("a1"), ms(110)), &[], ms(110));
     assert_eq!(sent_to(&choice), Some("i-1"), "the old version may still be used");
-    let asks = machine.take_asks();
+    let asks = machine.take_load_requests();
     assert_eq!((asks[0].ask.replica.as_str(), asks[0].ask.version), ("i-2", Some(2)));
     machine.take_report(&beacon(2, 2, &[held("a1", 2)]), ms(400));
     for _ in 0..20 {
@@ -335,8 +338,8 @@
         machine.list(record(&format!("i-{port}"), port), ms(0));
     }
     for _ in 0..3 {
-        machine.begin("i-1", None, ms(0));
-        machine.end("i-1", None, AttemptFate::Failed, ms(0));
+        machine.begin_attempt("i-1", None, ms(0));
+        machine.end_attempt("i-1", None, AttemptOutcome::Failed, ms(0));
     }
     for _ in 0..50 {
         let choice = machine.choose(&query(None, ms(1)), &[], ms(1));
@@ -353,12 +356,12 @@
     let mut machine = machine();
     machine.list(record("i-1", 1), ms(0));
     machine.list(record("i-2", 2), ms(0));
-    machine.begin("i-1", None, ms(0));
+    machine.begin_attempt("i-1", None, ms(0));
     for _ in 0..20 {
         let choice = machine.choose(&query(None, ms(1500)), &[], ms(1500));
         assert_eq!(sent_to(&choice), Some("i-2"));
     }
-    machine.hear("i-1", ms(1500));
+    machine.record_bytes_received("i-1", ms(1500));
     let all: Vec<Option<String>> = (0..50)
         .map(|_| sent_to(&machine.choose(&query(None, ms(1501)), &[], ms(1501))).map(String::from))
         .collect();
@@ -368,7 +371,7 @@
 #[test]
 fn connections_to_a_replica_stay_within_this_relays_share() {
     let mut machine = machine();
-    machine.take_sheet(RouteSheet::new(
+    machine.apply_configuration(PublishedConfig::new(
         2,
         vec![route(RouteKind::Stream)],
         vec![engine_service(50, 3.0)],
@@ -378,7 +381,7 @@
     machine.list(record("i-1", 1), ms(0));
     for _ in 0..10 {
         assert!(sent_to(&machine.choose(&query(None, ms(0)), &[], ms(0))).is_some());
-        machine.begin("i-1", None, ms(0));
+        machine.begin_attempt("i-1", None, ms(0));
     }
     let choice = machine.choose(&query(None, ms(0)), &[], ms(0));
     assert!(matches!(choice, RelayChoice::Refuse(refusal)
@@ -393,12 +396,12 @@
     for _ in 0..1000 {
         machine.admit("s", ms(1000), ms(0)).unwrap();
         machine.finish();
-        while machine.take_repeat("s") {
+        while machine.take_retry("s") {
             repeats += 1;
         }
     }
     assert!((100..=103).contains(&repeats), "{repeats}");
-    assert!(machine.take_repeat("other"), "services do not share a budget");
+    assert!(machine.take_retry("other"), "services do not share a budget");
 }
 
 #[test]
@@ -433,15 +436,15 @@
 fn a_full_engine_hears_at_once_that_an_adapter_went_out_of_use() {
     let mut machine = machine();
     machine.list(record("i-1", 1), ms(0));
-    let full = EngineBeacon { spare_places: Some(0), ..beacon(1, 1, &[held("a1", 1)]) };
+    let full = EngineHeartbeat { spare_places: Some(0), ..beacon(1, 1, &[held("a1", 1)]) };
     machine.take_report(&full, ms(0));
     for _ in 0..2 {
-        machine.begin("i-1", Some(&key("a1")), ms(1));
+        machine.begin_attempt("i-1", Some(&key("a1")), ms(1));
     }
-    machine.end("i-1", Some(&key("a1")), AttemptFate::Answered, ms(2));
-    assert!(!machine.has_asks(), "another request still uses it");
-    machine.end("i-1", Some(&key("a1")), AttemptFate::Answered, ms(3));
-    assert!(machine.has_asks());
+    machine.end_attempt("i-1", Some(&key("a1")), AttemptOutcome::Answered, ms(2));
+    assert!(!machine.has_pending_messages(), "another request still uses it");
+    machine.end_attempt("i-1", Some(&key("a1")), AttemptOutcome::Answered, ms(3));
+    assert!(machine.has_pending_messages());
     assert_eq!(machine.take_freed(), ["i-1"]);
     assert!(machine.take_freed().is_empty());
 }
@@ -457,14 +460,14 @@
     machine.list(record("i-1", 1), ms(0));
     let sized = |tokens| RelayQuery { prompt_tokens: Some(tokens), ..query(None, ms(0)) };
     machine.set_rules(rules(PriorityRule::Feasible));
-    let timely = machine.begin_reading("i-1", &sized(500), ms(0));
-    let late = machine.begin_reading("i-1", &sized(500_000), ms(0));
-    let next = machine.begin_reading("i-1", &sized(500), ms(0));
+    let timely = machine.begin_prefill("i-1", &sized(500), ms(0));
+    let late = machine.begin_prefill("i-1", &sized(500_000), ms(0));
+    let next = machine.begin_prefill("i-1", &sized(500), ms(0));
     assert!(timely.rank < late.rank, "{timely:?} {late:?}");
     assert_eq!(next.rank, timely.rank);
     assert!(next.expected < late.expected, "the late one is not waited for");
     machine.set_rules(rules(PriorityRule::Route));
-    assert_eq!(machine.begin_reading("i-1", &sized(500_000), ms(0)).rank, timely.rank);
+    assert_eq!(machine.begin_prefill("i-1", &sized(500_000), ms(0)).rank, timely.rank);
 }
 
 fn born(id: &str, port: u16, born: u64) -> ReplicaRecord {
@@ -476,10 +479,10 @@
     let mut machine = machine();
     let old = ReplicaRecord { adapters: vec![held("a1", 1)], ..born("i-1", 1, 5) };
     machine.list(old, ms(0));
-    machine.begin("i-1", None, ms(0));
+    machine.begin_attempt("i-1", None, ms(0));
     let changes = machine.list(born("i-1", 1, 9), ms(10));
     let expected =
-        [BeliefChange::Replaced("i-1".to_string()), BeliefChange::Listed("i-1".to_string())];
+        [StateChange::Replaced("i-1".to_string()), StateChange::Listed("i-1".to_string())];
     assert_eq!(changes, expected);
     let view = machine.table().get("i-1").unwrap();
     assert!(view.adapters(ms(10)).is_empty(), "it holds nothing of before");
@@ -488,7 +491,7 @@
     assert!(machine.list(born("i-1", 1, 5), ms(20)).is_empty());
     assert_eq!(machine.table().get("i-1").unwrap().record.born, Some(9));
     // The end of a request at the start before does not count against the new one.
-    machine.end("i-1", None, AttemptFate::Failed, ms(30));
+    machine.end_attempt("i-1", None, AttemptOutcome::Failed, ms(30));
     assert!(machine.table().get("i-1").unwrap().seems_well(ms(30)));
 }
 
@@ -496,7 +499,7 @@
 fn the_same_start_of_a_replica_is_not_taken_for_another() {
     let mut machine = machine();
     machine.list(born("i-1", 1, 5), ms(0));
-    machine.begin("i-1", None, ms(0));
+    machine.begin_attempt("i-1", None, ms(0));
     assert!(machine.list(born("i-1", 1, 5), ms(10)).is_empty());
     assert!(machine.list(record("i-1", 1), ms(20)).is_empty());
     assert_eq!(machine.table().get("i-1").unwrap().in_flight, 1);
@@ -513,7 +516,7 @@
     for step in 0..4000 {
         let id = format!("i-{}", draw(12));
         match draw(4) {
-            0 => machine.forget(&id),
+            0 => machine.remove_replica(&id),
             _ => {
                 let next = ReplicaRecord {
                     created: StorePosition::in_first_era(draw(50)),
@@ -539,9 +542,9 @@
     for number in 1..=3 {
         machine.list(record(&format!("i-{number}"), number), ms(0));
     }
-    machine.note_store(false, ms(100));
-    machine.note_store(true, ms(4_000));
-    assert_eq!(machine.unlist("i-1", ms(4_010)), Some(BeliefChange::Doubted("i-1".to_string())));
+    machine.set_store_reachable(false, ms(100));
+    machine.set_store_reachable(true, ms(4_000));
+    assert_eq!(machine.unlist("i-1", ms(4_010)), Some(StateChange::Unconfirmed("i-1".to_string())));
     let chosen_from = |machine: &mut RelayMachine, from: u64| -> BTreeSet<String> {
         let times = (from..from + 200).map(ms);
         let choices = times.map(|now| machine.choose(&query(None, now), &[], now));
@@ -566,13 +569,13 @@
         machine.list(example_record("i-1"), now);
         machine.list(example_record("i-2"), now);
     }
-    reader.note_store(false, now);
-    reader.note_store(true, now);
+    reader.set_store_reachable(false, now);
+    reader.set_store_reachable(true, now);
     let listed = reader.list_all(vec![example_record("i-2")], now);
-    assert_eq!(listed, [BeliefChange::Doubted("i-1".to_string())]);
+    assert_eq!(listed, [StateChange::Unconfirmed("i-1".to_string())]);
     reader.note_read(StorePart::Replicas, StorePosition::in_first_era(9));
     told.take_published(reader.published(now), now);
     let after = now + ms(2_200);
-    assert_eq!(reader.tick(after), [BeliefChange::Gone("i-1".to_string())]);
-    assert_eq!(told.tick(after), [BeliefChange::Gone("i-1".to_string())]);
+    assert_eq!(reader.tick(after), [StateChange::Gone("i-1".to_string())]);
+    assert_eq!(told.tick(after), [StateChange::Gone("i-1".to_string())]);
 }
--- a/quillcove_core/tests/relay_report_stream.rs
+++ b/quillcove_core/tests/relay_report_stream.rs
@@ -13,12 +13,13 @@
 use proptest::prelude::*;
 use quillcove_core::ids::MonoTime;
 use quillcove_core::relay::beacon::{
-    AdapterKey, EngineBeacon, EngineGauges, EngineReport, GaugeBeacon, HeldAdapter, PeerMessage,
+    AdapterKey, EngineGauges, EngineHeartbeat, EngineReport, GaugeHeartbeat, HeldAdapter,
+    PeerMessage,
 };
 use quillcove_core::relay::position::StorePosition;
 use quillcove_core::relay::replica::{ReplicaRecord, ReplicaTable, example_record};
-use quillcove_core::relay::report_stream::{GaugeFate, ReportLedger, ReportSender};
-use quillcove_core::relay::roll::RelayRoll;
+use quillcove_core::relay::report_stream::{GaugeOutcome, ReportLedger, ReportSender};
+use quillcove_core::relay::roll::RelayMembership;
 
 const PLACES: u32 = 14;
 
@@ -56,7 +57,7 @@
 impl Loader {
     fn whole(&mut self, report: &EngineReport) -> PeerMessage {
         self.number += 1;
-        PeerMessage::Engine(Box::new(EngineBeacon {
+        PeerMessage::Engine(Box::new(EngineHeartbeat {
             host: "side-a-1".to_string(),
             engine: engine(),
             number: self.number,
@@ -72,11 +73,11 @@
     }
 
     fn tell(&mut self, report: &EngineReport, now: MonoTime) -> PeerMessage {
-        if self.sender.takes_whole(report, now) {
+        if self.sender.decide_full(report, now) {
             return self.whole(report);
         }
         self.number += 1;
-        PeerMessage::Gauges(GaugeBeacon {
+        PeerMessage::Gauges(GaugeHeartbeat {
             engine: engine(),
             number: self.number,
             incarnation: 1,
@@ -112,11 +113,11 @@
                 }
             },
             PeerMessage::Gauges(beacon) => match self.ledger.take_gauges(beacon, now) {
-                GaugeFate::Fits => {
-                    assert!(self.table.gauge(beacon.engine, &beacon.gauges, now));
+                GaugeOutcome::Fits => {
+                    assert!(self.table.record_gauges(beacon.engine, &beacon.gauges, now));
                 },
-                GaugeFate::Lacks { asks } => self.asks += u32::from(asks),
-                GaugeFate::Late => {},
+                GaugeOutcome::Lacks { asks } => self.asks += u32::from(asks),
+                GaugeOutcome::Late => {},
             },
             _ => unreachable!("loaders send no other messages"),
         }
@@ -195,7 +196,7 @@
         ms(10),
     );
     let gauges = EngineGauges::default();
-    assert!(!relay.table.gauge(engine(), &gauges, ms(20)));
+    assert!(!relay.table.record_gauges(engine(), &gauges, ms(20)));
 }
 
 #[test]
@@ -208,7 +209,7 @@
     let (used, unused) = (held(3).key, held(1).key);
     let view = relay.table.at(engine()).unwrap();
     assert_eq!((view.fleet_uses_of(&used, ms(0)), view.fleet_uses_of(&unused, ms(0))), (40, 0));
-    relay.table.lacks("i-1", &unused);
+    relay.table.remove_adapter("i-1", &unused);
     assert_eq!(relay.table.at(engine()).unwrap().fleet_uses_of(&used, ms(0)), 0);
 }
 
@@ -217,25 +218,26 @@
     let relays = 68u16;
     let mut named = std::collections::BTreeSet::new();
     for loader in 0..78u64 {
-        let mut roll = RelayRoll::new(quillcove_core::rendezvous::weight("l", &loader.to_string()));
+        let mut roll =
+            RelayMembership::new(quillcove_core::rendezvous::weight("l", &loader.to_string()));
         for port in 1..=relays {
-            roll.hear(std::net::SocketAddr::from(([127, 0, 0, 1], port)), ms(0));
+            roll.record_heartbeat(std::net::SocketAddr::from(([127, 0, 0, 1], port)), ms(0));
         }
-        (0..3).for_each(|_| named.extend(roll.name_some()));
+        (0..3).for_each(|_| named.extend(roll.next_named()));
     }
     assert_eq!(named.len(), usize::from(relays));
 }
 
 #[test]
 fn one_loader_names_every_relay_in_turn() {
-    let mut roll = RelayRoll::new(u64::MAX);
+    let mut roll = RelayMembership::new(u64::MAX);
     for port in 1..=10 {
-        roll.hear(std::net::SocketAddr::from(([127, 0, 0, 1], port)), ms(0));
+        roll.record_heartbeat(std::net::SocketAddr::from(([127, 0, 0, 1], port)), ms(0));
     }
-    let named: std::collections::BTreeSet<_> = (0..3).flat_map(|_| roll.name_some()).collect();
+    let named: std::collections::BTreeSet<_> = (0..3).flat_map(|_| roll.next_named()).collect();
     assert_eq!(named.len(), 10);
     assert_eq!(roll.forget(ms(3000)).len(), 10);
-    assert!(roll.name_some().is_empty());
+    assert!(roll.next_named().is_empty());
 }
 
 /// What happens to one datagram.
--- a/quillcove_core/tests/relay_site/mod.rs
+++ b/quillcove_core/tests/relay_site/mod.rs
@@ -58,8 +58,8 @@
         adapter,
         received,
         prompt_tokens: None,
-        age: Duration::ZERO,
-        looks: 0,
+        since_first_attempt: Duration::ZERO,
+        choice_count: 0,
         grant: None,
         identity: None,
     }
--- a/quillcove_core/tests/relay_store_duty.rs
+++ b/quillcove_core/tests/relay_store_duty.rs
@@ -12,12 +12,12 @@
 
 use proptest::prelude::*;
 use quillcove_core::ids::MonoTime;
-use quillcove_core::relay::knowledge::{PartAges, StoreKnowledge, StoreWord};
+use quillcove_core::relay::knowledge::{PartAges, StoreKnowledge, StoreSummary};
 use quillcove_core::relay::machine::{RelayMachine, RelayRules};
 use quillcove_core::relay::position::{ReadPositions, StorePosition};
 use quillcove_core::relay::published::StorePart;
 use quillcove_core::relay::replica::example_record;
-use quillcove_core::relay::store_duty::{DutyRules, ReaderCandidate, StoreDuty, duty};
+use quillcove_core::relay::store_duty::{DutyRules, ReaderCandidate, StoreRole, choose_role};
 
 const HALLS: usize = 5;
 
@@ -108,14 +108,14 @@
     knowledge: StoreKnowledge,
     /// Last revision that this relay knows the content of.
     content: u64,
-    duty: StoreDuty,
+    duty: StoreRole,
     is_up: bool,
     call: Option<Call>,
     next_call: u64,
     wants: bool,
     /// When each other relay was last heard, and whether the store answers it.
     heard: Vec<Option<(u64, bool)>>,
-    words: Vec<(usize, StoreWord)>,
+    words: Vec<(usize, StoreSummary)>,
     calls: usize,
 }
 
@@ -124,7 +124,7 @@
         Self {
             knowledge: StoreKnowledge::default(),
             content: 0,
-            duty: StoreDuty::Watches,
+            duty: StoreRole::Watches,
             is_up: true,
             call: None,
             next_call: 0,
@@ -211,7 +211,7 @@
                 Variant::AdoptsOverChange => word.changed = ReadPositions::default(),
                 _ => {},
             }
-            if !relay.knowledge.take_word(StorePart::Operator, &word, ms(now)) {
+            if !relay.knowledge.apply_summary(StorePart::Operator, &word, ms(now)) {
                 relay.wants = true;
             } else if variant == Variant::PassesOnAges
                 && relay.content > 0
@@ -278,7 +278,7 @@
             .filter_map(|(other, heard)| Some((other, heard.filter(is_there)?)))
             .map(|(other, (_, is_up))| of(other, is_up))
             .collect();
-        let duty = duty(&rules(), of(number, relay.is_up), &others);
+        let duty = choose_role(&rules(), of(number, relay.is_up), &others);
         let limit = match self.variant {
             Variant::LateLimit => ms(BOUND + BOUND / 2),
             _ => rules().age_limit(StorePart::Operator, &names[number].0),
@@ -294,14 +294,14 @@
         let relay = &mut self.relays[number];
         let is_first = relay.content == 0;
         let is_due = match relay.duty {
-            StoreDuty::Watches => true,
-            StoreDuty::IsTold => is_first || (relay.wants && variant != Variant::NeverReads),
+            StoreRole::Watches => true,
+            StoreRole::IsTold => is_first || (relay.wants && variant != Variant::NeverReads),
         };
         if relay.call.is_some() || now < relay.next_call || !is_due {
             return;
         }
         let wait = match relay.duty {
-            StoreDuty::Watches if relay.is_up && !is_first => {
+            StoreRole::Watches if relay.is_up && !is_first => {
                 rules().watch_time(StorePart::Replicas).unwrap().as_millis() as u64
             },
             _ => 0,
@@ -317,7 +317,7 @@
             return;
         }
         let relay = &self.relays[number];
-        let word = relay.knowledge.word(relay.is_up, ms(now));
+        let word = relay.knowledge.summary(relay.is_up, ms(now));
         for other in (0..self.relays.len()).filter(|other| *other != number) {
             if !self.has(other, Trouble::CutFromRelays, now) {
                 self.relays[other].words.push((number, word));
@@ -358,7 +358,7 @@
     };
     let is_reader = |number: &usize| {
         let others: Vec<_> = (0..20).filter(|other| other != number).map(of).collect();
-        duty(&rules(), of(*number), &others) == StoreDuty::Watches
+        choose_role(&rules(), of(*number), &others) == StoreRole::Watches
     };
     let readers: Vec<usize> = (0..20).filter(is_reader).collect();
     assert!((4..=5).contains(&readers.len()), "{readers:?}");
@@ -433,7 +433,7 @@
         is_up: true,
     };
     let others: Vec<_> = (1..50).map(of).collect();
-    assert_eq!(duty(&rules, of(0), &others), StoreDuty::Watches);
+    assert_eq!(choose_role(&rules, of(0), &others), StoreRole::Watches);
 }
 
 #[test]
@@ -450,7 +450,7 @@
             .filter(|other| *other != alone)
             .map(|other| of(other, other % HALLS != alone % HALLS))
             .collect();
-        assert_eq!(duty(&rules(), of(alone, true), &others), StoreDuty::Watches);
+        assert_eq!(choose_role(&rules(), of(alone, true), &others), StoreRole::Watches);
     }
 }
 
@@ -460,8 +460,8 @@
     let ages = PartAges { operator: Some(Duration::ZERO), replicas: None };
     let read =
         ReadPositions { operator: StorePosition::in_first_era(9), ..ReadPositions::default() };
-    let word = StoreWord { read, ages, is_up: true, ..StoreWord::default() };
-    assert!(knowledge.take_word(StorePart::Operator, &word, ms(10)));
+    let word = StoreSummary { read, ages, is_up: true, ..StoreSummary::default() };
+    assert!(knowledge.apply_summary(StorePart::Operator, &word, ms(10)));
     assert_eq!(knowledge.read().operator.revision, 0);
     assert!(knowledge.is_old(StorePart::Operator, ms(1_000), ms(10)));
 }
@@ -481,8 +481,8 @@
 /// Tells one relay's word to another; gives whether the other has to read, and what it takes itself to
 /// know then.
 fn told(to: &mut RelayMachine, from: &RelayMachine) -> (bool, u64) {
-    let word = from.knowledge().word(true, ms(10));
-    let knows = to.knowledge_mut().take_word(StorePart::Replicas, &word, ms(10));
+    let word = from.knowledge().summary(true, ms(10));
+    let knows = to.knowledge_mut().apply_summary(StorePart::Replicas, &word, ms(10));
     (!knows, to.read().replicas.revision)
 }
 
--- a/quillcove_core/tests/relay_tries.rs
+++ b/quillcove_core/tests/relay_tries.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use quillcove_core::relay::beacon::{AdapterKey, EngineBeacon, EngineReport};
+use quillcove_core::relay::beacon::{AdapterKey, EngineHeartbeat, EngineReport};
 use quillcove_core::relay::machine::{RelayChoice, RelayMachine, RelayQuery, RelayRules};
 use quillcove_core::relay::policy::{RelayPolicy, WaitingRule};
 use quillcove_core::relay::replica::{ReplicaRecord, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use quillcove_core::relay::tries::CallerTries;
 use quillcove_core::route::{RouteKind, RouteRecord, RouteShare};
 use relay_site::{address, engine_service, ms};
@@ -41,9 +41,14 @@
     let rules = RelayRules { hall: "hall-a".into(), policy, ..RelayRules::default() };
     let mut machine = RelayMachine::new(rules, 1);
     let services = vec![engine_service(8, 3.0)];
-    machine.take_sheet(RouteSheet::new(1, vec![route()], services, CallerLimits::default()));
+    machine.apply_configuration(PublishedConfig::new(
+        1,
+        vec![route()],
+        services,
+        CallerLimits::default(),
+    ));
     machine.list(ReplicaRecord { address: address(1), ..example_record("i-1") }, ms(0));
-    let beacon = EngineBeacon {
+    let beacon = EngineHeartbeat {
         host: "h1".into(),
         engine: address(1),
         number: 1,
@@ -68,9 +73,9 @@
         adapter: Some(AdapterKey { model: "m".into(), adapter: "a1".into() }),
         prompt_tokens: Some(500),
         received: ms(1_000),
-        age,
+        since_first_attempt: age,
         deadline: ms(1_000) + patience,
-        looks: 0,
+        choice_count: 0,
         grant: None,
         identity: None,
     }
@@ -104,18 +109,18 @@
 #[test]
 fn what_a_caller_waits_for_ends_with_its_patience() {
     let query = query(ms(0), ms(15_000));
-    assert_eq!(query.leaves(), ms(3_000));
+    assert_eq!(query.abandon_at(), ms(3_000));
     assert_eq!(query.due(), ms(1_200));
-    assert_eq!(RelayQuery { age: ms(500), ..query }.due(), ms(700));
+    assert_eq!(RelayQuery { since_first_attempt: ms(500), ..query }.due(), ms(700));
 }
 
 #[test]
 fn callers_that_wait_unequally_long_are_not_taken_for_returns() {
     let mut tries = CallerTries::default();
     for number in 0..400u64 {
-        tries.age_of(ms(1_000 + number * 37 % 4_000));
+        tries.time_since_first_attempt(ms(1_000 + number * 37 % 4_000));
     }
-    assert_eq!(tries.age_of(ms(2_000)), ms(0));
+    assert_eq!(tries.time_since_first_attempt(ms(2_000)), ms(0));
 }
 
 proptest! {
@@ -128,7 +133,7 @@
         let mut longest = 0;
         for time in times {
             longest = longest.max(time);
-            let age = tries.age_of(ms(time));
+            let age = tries.time_since_first_attempt(ms(time));
             prop_assert!(age == ms(0) || age == ms(longest - time));
         }
     }
--- a/quillcove_core/tests/relay_words.rs
+++ b/quillcove_core/tests/relay_words.rs
@@ -6,14 +6,14 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use quillcove_core::relay::beacon::{AdapterKey, EngineBeacon, EngineReport, HeldAdapter};
+use quillcove_core::relay::beacon::{AdapterKey, EngineHeartbeat, EngineReport, HeldAdapter};
 use quillcove_core::relay::machine::{
     AttemptOrder, RelayChoice, RelayMachine, RelayQuery, RelayRules,
 };
 use quillcove_core::relay::position::{ReadPositions, StorePosition};
 use quillcove_core::relay::published::StorePart;
 use quillcove_core::relay::replica::{ReplicaRecord, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig};
 use quillcove_core::standing::notice::UpstreamNotice;
 use quillcove_core::verdict::RefusalReason;
 use relay_site::{address, engine_service, ms, stream_route};
@@ -37,7 +37,7 @@
     let mut machine = RelayMachine::new(rules, 1);
     let services = vec![engine_service(100, 3.0)];
     let routes = vec![stream_route()];
-    machine.take_sheet(RouteSheet::new(1, routes, services, CallerLimits::default()));
+    machine.apply_configuration(PublishedConfig::new(1, routes, services, CallerLimits::default()));
     machine
 }
 
@@ -69,9 +69,9 @@
     numbers.iter().map(|number| format!("i-{number}")).collect()
 }
 
-fn beacon(number: u16, adapter: &str, is_leaving: bool) -> EngineBeacon {
+fn beacon(number: u16, adapter: &str, is_leaving: bool) -> EngineHeartbeat {
     let key = AdapterKey { model: "m".to_string(), adapter: adapter.to_string() };
-    EngineBeacon {
+    EngineHeartbeat {
         host: format!("host-{number}"),
         engine: address(number),
         number: 1,
@@ -95,7 +95,7 @@
 fn when_all_leave_they_serve_for_half_of_the_drain_time() {
     let mut machine = machine(1..=2);
     for number in [1, 2] {
-        machine.note_said(&AttemptOrder::to(&record(number)), &LEAVES, ms(100));
+        machine.record_notice(&AttemptOrder::to(&record(number)), &LEAVES, ms(100));
     }
     let half = ms(100) + DRAIN_TIME / 2;
     assert_eq!(chosen(&mut machine, half - ms(1)), ids(&[1, 2]));
@@ -110,10 +110,10 @@
     let mut machine = machine(1..=2);
     let order = AttemptOrder::to(&record(1));
     assert!(machine.may_send(&order, ms(0), ms(0)));
-    machine.note_said(&order, &rests(500), ms(10));
+    machine.record_notice(&order, &rests(500), ms(10));
     assert!(!machine.may_send(&order, ms(0), ms(20)));
     assert!(machine.may_send(&order, ms(0), ms(520)), "the rest and its spread are over");
-    machine.note_said(&order, &LEAVES, ms(600));
+    machine.record_notice(&order, &LEAVES, ms(600));
     assert!(!machine.may_send(&order, ms(0), ms(610)));
     // One that the list has lost meanwhile, and another start under the same id.
     let other = AttemptOrder::to(&record(2));
@@ -127,8 +127,8 @@
 fn several_rests_end_with_the_latest() {
     let mut machine = machine(1..=1);
     let order = AttemptOrder::to(&record(1));
-    machine.note_said(&order, &rests(1000), ms(0));
-    machine.note_said(&order, &rests(200), ms(10));
+    machine.record_notice(&order, &rests(1000), ms(0));
+    machine.record_notice(&order, &rests(200), ms(10));
     assert!(chosen(&mut machine, ms(500)).is_empty());
     let choice = machine.choose(&query(None, ms(500)), &[], ms(500));
     let RelayChoice::Refuse(refusal) = choice else { panic!("{choice:?}") };
@@ -142,7 +142,7 @@
 fn told_of(leaving: &[u16]) -> RelayMachine {
     let mut other = machine(1..=4);
     for number in leaving {
-        other.note_said(&AttemptOrder::to(&record(*number)), &LEAVES, ms(0));
+        other.record_notice(&AttemptOrder::to(&record(*number)), &LEAVES, ms(0));
     }
     let mut machine = relay();
     let mut published = other.published(ms(10));
@@ -171,10 +171,10 @@
         machine.take_report(&beacon(1, "a1", false), ms(0));
         machine.take_report(&beacon(2, "a2", false), ms(0));
         let order = AttemptOrder::to(&record(1));
-        machine.note_said(&order, &notice, ms(10));
+        machine.record_notice(&order, &notice, ms(10));
         let choice = machine.choose(&query(Some("a1"), ms(20)), &[], ms(20));
         assert!(matches!(choice, RelayChoice::Wait(_)), "{notice:?}: {choice:?}");
-        let asks = machine.take_asks();
+        let asks = machine.take_load_requests();
         let asked: Vec<&str> = asks.iter().map(|it| it.ask.replica.as_str()).collect();
         assert_eq!(asked, ["i-2"], "{notice:?}");
     }
--- a/quillcove_core/tests/store_eras.rs
+++ b/quillcove_core/tests/store_eras.rs
@@ -9,8 +9,8 @@
 
 use proptest::prelude::*;
 use quillcove_core::ids::{MonoTime, StoreEra};
-use quillcove_core::relay::follower::{AnswerEra, FollowRules, PartFollower, StoreCall};
-use quillcove_core::relay::knowledge::{StoreKnowledge, StoreWord};
+use quillcove_core::relay::follower::{AnswerEra, PartWatcher, StoreCall, WatchRules};
+use quillcove_core::relay::knowledge::{StoreKnowledge, StoreSummary};
 use quillcove_core::relay::position::StorePosition;
 use quillcove_core::relay::published::StorePart;
 use quillcove_core::relay::store_duty::DutyRules;
@@ -106,14 +106,14 @@
 }
 
 struct Relay {
-    follower: PartFollower,
+    follower: PartWatcher,
     knowledge: StoreKnowledge,
     /// Newest value that is known.
     newest: u64,
     next_call: u64,
     wants: bool,
     calls: usize,
-    words: Vec<StoreWord>,
+    words: Vec<StoreSummary>,
 }
 
 struct Fleet {
@@ -137,7 +137,7 @@
 impl Fleet {
     fn new(variant: Variant, count: usize) -> Self {
         let relay = |_| Relay {
-            follower: PartFollower::new(FollowRules::default()),
+            follower: PartWatcher::new(WatchRules::default()),
             knowledge: StoreKnowledge::default(),
             newest: 0,
             next_call: 0,
@@ -240,7 +240,7 @@
                 word.changed.operator.era = era;
                 word.since.operator.era = era;
             }
-            relay.wants |= !relay.knowledge.take_word(PART, &word, ms(now));
+            relay.wants |= !relay.knowledge.apply_summary(PART, &word, ms(now));
         }
         let limit = duty_rules().age_limit(PART, &format!("front-{number}"));
         relay.wants |= relay.knowledge.is_old(PART, limit, ms(now));
@@ -257,9 +257,9 @@
         let store = &self.store;
         let relay = &mut self.relays[number];
         relay.calls += 1;
-        relay.follower.know(relay.knowledge.read().of(PART));
+        relay.follower.advance_to(relay.knowledge.read().of(PART));
         if store.is_away {
-            relay.next_call = now + relay.follower.take_failure().as_millis() as u64;
+            relay.next_call = now + relay.follower.record_failure().as_millis() as u64;
             return;
         }
         let position = StorePosition { era, revision: store.position.revision };
@@ -288,7 +288,7 @@
         if is_news {
             relay.knowledge.note_change(PART, position);
         }
-        relay.next_call = now + relay.follower.take_answer(position).as_millis() as u64;
+        relay.next_call = now + relay.follower.record_response(position).as_millis() as u64;
     }
 
     fn tell(&mut self, now: u64) {
@@ -297,7 +297,7 @@
             if !is_due || self.is_frozen(number, now) {
                 continue;
             }
-            let word = self.relays[number].knowledge.word(!self.store.is_away, ms(now));
+            let word = self.relays[number].knowledge.summary(!self.store.is_away, ms(now));
             for other in (0..self.relays.len()).filter(|other| *other != number) {
                 self.words += 1;
                 let lost_each = self.trouble.lost_each;
--- a/quillcove_core/tests/word_fleet/mod.rs
+++ b/quillcove_core/tests/word_fleet/mod.rs
@@ -15,8 +15,8 @@
 use quillcove_core::relay::machine::{RelayChoice, RelayMachine, RelayQuery, RelayRules};
 use quillcove_core::relay::position::{ReadPositions, StorePosition};
 use quillcove_core::relay::published::StorePart;
-use quillcove_core::relay::replica::{AttemptFate, ReplicaRecord, ReplicaState, example_record};
-use quillcove_core::relay::sheet::{CallerLimits, RouteSheet, ServiceRecord};
+use quillcove_core::relay::replica::{AttemptOutcome, ReplicaRecord, ReplicaState, example_record};
+use quillcove_core::relay::sheet::{CallerLimits, PublishedConfig, ServiceRecord};
 use quillcove_core::route::{RouteKind, RouteRecord, RouteShare};
 use quillcove_core::standing::notice::UpstreamNotice;
 
@@ -176,7 +176,12 @@
             engine: None,
         };
         let route = RouteRecord::clone(&self.route);
-        machine.take_sheet(RouteSheet::new(1, vec![route], vec![service], CallerLimits::default()));
+        machine.apply_configuration(PublishedConfig::new(
+            1,
+            vec![route],
+            vec![service],
+            CallerLimits::default(),
+        ));
         let others = self.pattern.relays - 1;
         let others = OtherRelays { count: others, recent: others, lacking: 0 };
         machine.set_others(others, self.now);
@@ -302,9 +307,9 @@
             adapter: None,
             prompt_tokens: None,
             received: now,
-            age: Duration::ZERO,
+            since_first_attempt: Duration::ZERO,
             deadline: now + PATIENCE,
-            looks: 0,
+            choice_count: 0,
             grant: None,
             identity: None,
         };
@@ -323,11 +328,11 @@
         let sim = &mut self.relays[request.relay];
         match sim.machine.choose(&request.query, &request.tried, now) {
             RelayChoice::Send(order) => {
-                sim.machine.begin(&order.replica, None, now);
+                sim.machine.begin_attempt(&order.replica, None, now);
                 request.tried.push(order.replica.clone());
                 let replica = self.index[&order.replica];
                 // The start that the relay means, which may be over.
-                let born = order.born.unwrap_or(0) / BORN_STEP;
+                let born = order.start_time.unwrap_or(0) / BORN_STEP;
                 let attempt = Box::new(SimAttempt { request, order, replica, born });
                 let pause = self.connect_time();
                 self.after(pause, SimEvent::Send(attempt));
@@ -376,7 +381,7 @@
         let received = attempt.request.query.received;
         let is_checked = self.rule != WordRule::AtChoiceOnly;
         if is_checked && !sim.machine.may_send(&attempt.order, received, now) {
-            sim.machine.end(&attempt.order.replica, None, AttemptFate::Abandoned, now);
+            sim.machine.end_attempt(&attempt.order.replica, None, AttemptOutcome::Abandoned, now);
             return self.choose(attempt.request);
         }
         let pause = self.millis(1, 5);
@@ -444,18 +449,19 @@
             let is_heard = self.rule != WordRule::RefusalsOnly || kind == AnswerKind::Refused;
             let mut of = order.clone();
             if self.rule == WordRule::OfAnyStart {
-                of.born = sim.machine.table().get(&order.replica).and_then(|view| view.record.born);
+                of.start_time =
+                    sim.machine.table().get(&order.replica).and_then(|view| view.record.born);
             }
             if is_heard {
-                sim.machine.note_said(&of, &notice, now);
+                sim.machine.record_notice(&of, &notice, now);
             }
         }
         let fate = match kind {
-            AnswerKind::Good => AttemptFate::Answered,
-            AnswerKind::Refused => AttemptFate::Refused,
-            AnswerKind::Failed | AnswerKind::Lost => AttemptFate::Failed,
+            AnswerKind::Good => AttemptOutcome::Answered,
+            AnswerKind::Refused => AttemptOutcome::Refused,
+            AnswerKind::Failed | AnswerKind::Lost => AttemptOutcome::Failed,
         };
-        sim.machine.end(&order.replica, None, fate, now);
+        sim.machine.end_attempt(&order.replica, None, fate, now);
         match kind {
             AnswerKind::Good => {
                 sim.machine.finish();
@@ -466,7 +472,7 @@
             },
             AnswerKind::Refused | AnswerKind::Failed | AnswerKind::Lost => {
                 request.refusals += 1;
-                let may_repeat = request.refusals <= REFUSALS && sim.machine.take_repeat("s");
+                let may_repeat = request.refusals <= REFUSALS && sim.machine.take_retry("s");
                 match may_repeat {
                     true => {
                         self.oracle.repeated();
@@ -547,7 +553,7 @@
     fn silence(&mut self, is_silent: bool) {
         self.is_silent = is_silent;
         for relay in 0..self.relays.len() {
-            self.relays[relay].machine.note_store(!is_silent, self.now);
+            self.relays[relay].machine.set_store_reachable(!is_silent, self.now);
             if !is_silent {
                 self.list_all(relay);
             }
@@ -575,7 +581,7 @@
                 true => {
                     let other = (relay + 1) % self.relays.len();
                     let published = self.relays[other].machine.published(self.now);
-                    self.relays[relay].machine.note_store(false, self.now);
+                    self.relays[relay].machine.set_store_reachable(false, self.now);
                     self.relays[relay].machine.take_published(published, self.now);
                 },
             }
