--- a/quillcove_core/src/once/book.rs
+++ b/quillcove_core/src/once/book.rs
@@ -150,7 +150,7 @@
         self.keys_certain_from = now + self.limits.key_lifetime;
     }
 
-    /// Claims a run. A run can be claimed once, and again only after [`OnceBook::settle`] has recorded
+    /// Claims a run. A run can be claimed once, and again only after [`OnceBook::record_outcome`] has recorded
     /// that it certainly did not happen.
     ///
     /// # Errors
--- a/quillcove_core/src/relay/beacon.rs
+++ b/quillcove_core/src/relay/beacon.rs
@@ -303,7 +303,7 @@
     Spend(UsageReport),
     /// From a relay to a relay.
     ProofAsk(FreshnessRequest),
-    /// From a relay to the relay that sent the [`ProofAsk`].
+    /// From a relay to the relay that sent the [`FreshnessRequest`].
     Proof(FreshnessResponse),
     /// From a relay to relays and loaders, and from a loader to relays.
     Crash(CrashReport),
@@ -325,7 +325,7 @@
     pub number: u64,
 }
 
-/// The response to a [`ProofAsk`].
+/// The response to a [`FreshnessRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreshnessResponse {
     /// Number of the request.
--- a/quillcove_core/src/relay/machine/query.rs
+++ b/quillcove_core/src/relay/machine/query.rs
@@ -42,7 +42,7 @@
 impl RelayQuery {
     /// Returns the priority rank, 0 first: that of the workspace if set, otherwise that of the route.
     ///
-    /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
+    /// See [`RelayMachine::begin_prefill`](super::RelayMachine::begin_prefill) for an example of a query.
     pub fn rank(&self) -> u8 {
         let workspace = self.grant.as_ref().and_then(|grant| grant.workspace.priority);
         workspace.unwrap_or(self.route.priority)
@@ -50,21 +50,21 @@
 
     /// Returns the time until which a response meets the target latency, counted from the caller's first attempt.
     ///
-    /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
+    /// See [`RelayMachine::begin_prefill`](super::RelayMachine::begin_prefill) for an example of a query.
     pub fn due(&self) -> MonoTime {
         (self.received + self.route.aim).saturating_sub(self.since_first_attempt)
     }
 
     /// Returns whether the caller is known to have tried before.
     ///
-    /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
+    /// See [`RelayMachine::begin_prefill`](super::RelayMachine::begin_prefill) for an example of a query.
     pub fn is_retry(&self) -> bool {
         self.since_first_attempt > Duration::ZERO
     }
 
     /// Returns when the caller leaves if no response has begun.
     ///
-    /// See [`RelayMachine::begin_reading`](super::RelayMachine::begin_reading) for an example of a query.
+    /// See [`RelayMachine::begin_prefill`](super::RelayMachine::begin_prefill) for an example of a query.
     pub fn abandon_at(&self) -> MonoTime {
         let patience = self.route.patience.map(|patience| self.received + patience);
         patience.map_or(self.deadline, |leaves| leaves.min(self.deadline))
