--- a/quillcove/benches/capacity.rs
+++ b/quillcove/benches/capacity.rs
@@ -11,7 +11,7 @@
 use common::{ProcessSite, RoleProcess, SiteSize, get_json, state, wait_until};
 use http::Method;
 use quillcove_core::bundle::LoadLimits;
-use quillcove_core::permit::{PermitIssuer, PermitRequest};
+use quillcove_core::permit::{PermitCoordinator, PermitRequest};
 use serde::Serialize;
 use serde_json::{Value, json};
 
@@ -218,7 +218,7 @@
 /// Time of one ask at the keeper, against the number of agents that ask.
 fn permits(points: &mut Vec<CapacityPoint>) {
     for agents in [12, 100, 400, 790] {
-        let mut keeper = PermitIssuer::new(LoadLimits::default(), Duration::ZERO);
+        let mut keeper = PermitCoordinator::new(LoadLimits::default(), Duration::ZERO);
         let asks: Vec<PermitRequest> = (0..agents)
             .map(|number| PermitRequest { host: format!("e{number}"), value: f64::from(number) })
             .collect();
--- a/quillcove/src/agent/calls.rs
+++ b/quillcove/src/agent/calls.rs
@@ -9,7 +9,7 @@
 use quillcove_core::bundle::signing::BundleHead;
 use quillcove_core::ids::{AttemptId, HostId, Incarnation};
 use quillcove_core::once::book::OnceState;
-use quillcove_core::permit::{PermitIssuer, PermitRequest, PermitResponse};
+use quillcove_core::permit::{PermitCoordinator, PermitRequest, PermitResponse};
 use quillcove_core::verdict::{RefusalReason, WorkRefusal};
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel};
@@ -40,16 +40,16 @@
 
 /// The permit coordinator, with a notification for the requests that wait for a permit.
 pub struct PermitService {
-    coordinator: Mutex<PermitIssuer>,
+    coordinator: Mutex<PermitCoordinator>,
     released: Notify,
 }
 
 impl PermitService {
-    pub fn new(coordinator: PermitIssuer) -> Self {
+    pub fn new(coordinator: PermitCoordinator) -> Self {
         Self { coordinator: Mutex::new(coordinator), released: Notify::new() }
     }
 
-    fn lock_coordinator(&self) -> MutexGuard<'_, PermitIssuer> {
+    fn lock_coordinator(&self) -> MutexGuard<'_, PermitCoordinator> {
         self.coordinator.lock().expect("no holder panics")
     }
 
--- a/quillcove/src/agent/mod.rs
+++ b/quillcove/src/agent/mod.rs
@@ -21,7 +21,7 @@
 use quillcove_core::agent::view::AgentView;
 use quillcove_core::ids::Incarnation;
 use quillcove_core::once::book::OnceBook;
-use quillcove_core::permit::PermitIssuer;
+use quillcove_core::permit::PermitCoordinator;
 use slog::{Logger, info};
 use tokio::sync::{mpsc, watch};
 
@@ -108,7 +108,7 @@
             log: log.clone(),
         };
         let orders = OrderDuty::new(settings.clone(), ring.clone(), shelf.clone(), metrics.clone());
-        let coordinator = PermitIssuer::new(Default::default(), clock.now());
+        let coordinator = PermitCoordinator::new(Default::default(), clock.now());
         let permits = Arc::new(PermitService::new(coordinator));
         let control_service =
             ControlService { ring: ring.clone(), shelf: shelf.clone(), permits, clock };
--- a/quillcove/src/agent/orders.rs
+++ b/quillcove/src/agent/orders.rs
@@ -8,7 +8,7 @@
 use quillcove_core::agent::event::{
     AgentEvent, EngineOrder, EngineReport, HostState, OrderEnd, OrderKind, UpstreamKind,
 };
-use quillcove_core::permit::{PERMIT_ISSUER_KEY, PermitRequest, PermitResponse};
+use quillcove_core::permit::{PERMIT_COORDINATOR_KEY, PermitRequest, PermitResponse};
 use quillcove_core::rendezvous;
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval, sleep};
@@ -199,7 +199,7 @@
     fn coordinator_address(&self) -> Option<String> {
         let hosts = self.engine_hosts();
         let names = hosts.iter().map(|(host, _)| host.as_str());
-        let coordinator = rendezvous::first(PERMIT_ISSUER_KEY, names)?;
+        let coordinator = rendezvous::first(PERMIT_COORDINATOR_KEY, names)?;
         hosts.iter().find(|(host, _)| host == coordinator).map(|(_, control)| control.clone())
     }
 }
--- a/quillcove_core/src/permit.rs
+++ b/quillcove_core/src/permit.rs
@@ -13,7 +13,7 @@
 use crate::ids::{HostId, MonoTime};
 
 /// Rendezvous hashing key that chooses the agent which grants permits at a site.
-pub const PERMIT_ISSUER_KEY: &str = "load-permits";
+pub const PERMIT_COORDINATOR_KEY: &str = "load-permits";
 
 /// Minimum interval between two requests of a waiting agent.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
@@ -50,7 +50,7 @@
 
 /// Grants permits in order of value, within a rate and a concurrency limit.
 #[derive(Debug)]
-pub struct PermitIssuer {
+pub struct PermitCoordinator {
     limits: LoadLimits,
     allowance: f64,
     refilled: MonoTime,
@@ -58,15 +58,15 @@
     granted: BTreeMap<HostId, MonoTime>,
 }
 
-impl PermitIssuer {
+impl PermitCoordinator {
     /// Creates an instance with a full allowance and no permits granted.
     ///
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::{PermitResponse, PermitRequest, PermitIssuer};
+    /// use quillcove_core::permit::{PermitResponse, PermitRequest, PermitCoordinator};
     ///
-    /// let mut permits = PermitIssuer::new(LoadLimits::default(), Duration::ZERO);
+    /// let mut permits = PermitCoordinator::new(LoadLimits::default(), Duration::ZERO);
     /// let ask = PermitRequest { host: "e1".into(), value: 1.0 };
     /// assert_eq!(permits.request_permit(Duration::ZERO, &ask), PermitResponse::Granted);
     /// ```
@@ -85,9 +85,9 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::PermitIssuer;
+    /// use quillcove_core::permit::PermitCoordinator;
     ///
-    /// let mut permits = PermitIssuer::new(LoadLimits::default(), Duration::ZERO);
+    /// let mut permits = PermitCoordinator::new(LoadLimits::default(), Duration::ZERO);
     /// permits.set_limits(LoadLimits { per_second: 1.0, at_once: 1 });
     /// ```
     pub fn set_limits(&mut self, limits: LoadLimits) {
@@ -100,10 +100,10 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::{PermitResponse, PermitRequest, PermitIssuer};
+    /// use quillcove_core::permit::{PermitResponse, PermitRequest, PermitCoordinator};
     ///
     /// let limits = LoadLimits { per_second: 1.0, at_once: 1 };
-    /// let mut permits = PermitIssuer::new(limits, Duration::ZERO);
+    /// let mut permits = PermitCoordinator::new(limits, Duration::ZERO);
     /// permits.request_permit(Duration::ZERO, &PermitRequest { host: "e1".into(), value: 1.0 });
     /// let answer = permits.request_permit(Duration::ZERO, &PermitRequest { host: "e2".into(), value: 9.0 });
     /// assert!(matches!(answer, PermitResponse::Wait(_)));
@@ -130,9 +130,9 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::PermitIssuer;
+    /// use quillcove_core::permit::PermitCoordinator;
     ///
-    /// let mut permits = PermitIssuer::new(LoadLimits::default(), Duration::ZERO);
+    /// let mut permits = PermitCoordinator::new(LoadLimits::default(), Duration::ZERO);
     /// permits.release_permit("e1");
     /// assert_eq!(permits.permit_count(), 0);
     /// ```
@@ -147,9 +147,9 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::PermitIssuer;
+    /// use quillcove_core::permit::PermitCoordinator;
     ///
-    /// assert!(!PermitIssuer::new(LoadLimits::default(), Duration::ZERO).is_saturated());
+    /// assert!(!PermitCoordinator::new(LoadLimits::default(), Duration::ZERO).is_saturated());
     /// ```
     pub fn is_saturated(&self) -> bool {
         self.requests.len() as f64 > MAX_REQUEST_RATE
@@ -160,9 +160,9 @@
     /// ```
     /// use std::time::Duration;
     /// use quillcove_core::bundle::LoadLimits;
-    /// use quillcove_core::permit::PermitIssuer;
+    /// use quillcove_core::permit::PermitCoordinator;
     ///
-    /// assert_eq!(PermitIssuer::new(LoadLimits::default(), Duration::ZERO).permit_count(), 0);
+    /// assert_eq!(PermitCoordinator::new(LoadLimits::default(), Duration::ZERO).permit_count(), 0);
     /// ```
     pub fn permit_count(&self) -> usize {
         self.granted.len()
