--- a/quillcove/src/bundle/command.rs
+++ b/quillcove/src/bundle/command.rs
@@ -208,7 +208,7 @@
     diff_routes(&older.content.routes, &newer.content.routes);
     let delta = compute((older.content.version, &older.text), (newer.content.version, &newer.text));
     let size = serde_json::to_string(&delta)?.len();
-    println!("the delta has {size} bytes, the full text {}", newer.text.len());
+    println!("the difference has {size} bytes, the whole text {}", newer.text.len());
     Ok(())
 }
 
